--- a/lab/agent.cpp
+++ b/lab/agent.cpp
@@ -1,11 +1,11 @@
-#include "agent.h"
+#include "lab/agent.h"
 
 #include <algorithm>
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
@@ -137,4 +137,4 @@
   return json{{"index", index_}, {"snapshot", whole}, {"endpoints", entries}}.dump();
 }
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
--- a/lab/agent.h
+++ b/lab/agent.h
@@ -1,7 +1,7 @@
 // A hollow discovery agent on loopback, by the published form: whole lists, and watches that wait for
 // changes.
-#ifndef THORNSPOKE_LAB_AGENT_H_
-#define THORNSPOKE_LAB_AGENT_H_
+#ifndef GATEWAY_LAB_AGENT_H_
+#define GATEWAY_LAB_AGENT_H_
 
 #include <atomic>
 #include <boost/asio.hpp>
@@ -11,7 +11,7 @@
 #include <string>
 #include <thread>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 class Agent {
  public:
@@ -43,6 +43,6 @@
   std::thread thread_;
 };
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_AGENT_H_
+#endif  // GATEWAY_LAB_AGENT_H_
--- a/lab/backend.cpp
+++ b/lab/backend.cpp
@@ -1,8 +1,8 @@
-#include "backend.h"
+#include "lab/backend.h"
 
 #include <algorithm>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 double HollowBackend::Fraction(double now_s) const {
   if (started_s_ <= 0) return 1;
@@ -19,4 +19,4 @@
   return core;
 }
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
--- a/lab/backend.h
+++ b/lab/backend.h
@@ -1,13 +1,13 @@
 // A hollow backend: cores that serve one request each in turn, cold after a start, and a table of
 // connections.
-#ifndef THORNSPOKE_LAB_BACKEND_H_
-#define THORNSPOKE_LAB_BACKEND_H_
+#ifndef GATEWAY_LAB_BACKEND_H_
+#define GATEWAY_LAB_BACKEND_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <vector>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 struct BackendSpec {
   int cores = 3;
@@ -44,6 +44,6 @@
   double work_s_ = 0;
 };
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_BACKEND_H_
+#endif  // GATEWAY_LAB_BACKEND_H_
--- a/lab/clock.h
+++ b/lab/clock.h
@@ -1,6 +1,6 @@
 // Simulated time: events in the order of their times, and of their making where these are equal.
-#ifndef THORNSPOKE_LAB_CLOCK_H_
-#define THORNSPOKE_LAB_CLOCK_H_
+#ifndef GATEWAY_LAB_CLOCK_H_
+#define GATEWAY_LAB_CLOCK_H_
 
 #include <time.h>
 
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 // s of processor time that this thread has used, which other work on the machine does not add to.
 inline double ProcessorSeconds() {
@@ -51,6 +51,6 @@
   uint64_t last_ = 0;
 };
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_CLOCK_H_
+#endif  // GATEWAY_LAB_CLOCK_H_
--- a/lab/cold.cpp
+++ b/lab/cold.cpp
@@ -1,11 +1,11 @@
-#include "cold.h"
+#include "lab/cold.h"
 
 #include <algorithm>
 #include <atomic>
 #include <mutex>
 #include <thread>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 std::vector<ColdPoint> ColdPoints() {
   std::vector<ColdPoint> points;
@@ -95,4 +95,4 @@
   return results;
 }
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
--- a/lab/cold.h
+++ b/lab/cold.h
@@ -1,13 +1,13 @@
 // The proof that cold backends are not pushed over by the sum of all gateways, corner by corner.
-#ifndef THORNSPOKE_LAB_COLD_H_
-#define THORNSPOKE_LAB_COLD_H_
+#ifndef GATEWAY_LAB_COLD_H_
+#define GATEWAY_LAB_COLD_H_
 
 #include <string>
 #include <vector>
 
-#include "fleet.h"
+#include "lab/fleet.h"
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 struct ColdPoint {
   std::string name;
@@ -28,6 +28,6 @@
 // Plays each point on seeds 1 to `seeds`, on so many threads.
 std::vector<ColdResult> RunCold(const std::vector<ColdPoint>& points, int seeds, int threads);
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_COLD_H_
+#endif  // GATEWAY_LAB_COLD_H_
--- a/lab/control.cpp
+++ b/lab/control.cpp
@@ -1,4 +1,4 @@
-#include "control.h"
+#include "lab/control.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -14,9 +14,9 @@
 #include <stdexcept>
 #include <thread>
 
-#include "agent.h"
+#include "lab/agent.h"
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -83,7 +83,7 @@
 class Process {
  public:
   Process(const std::string& program, const json& config) {
-    char path[] = "/tmp/thornspoke-lab-XXXXXX";
+    char path[] = "/tmp/gateway-lab-XXXXXX";
     int file = mkstemp(path);
     if (file < 0) throw std::runtime_error("cannot write a configuration");
     close(file);
@@ -180,4 +180,4 @@
   return count;
 }
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
--- a/lab/control.h
+++ b/lab/control.h
@@ -1,10 +1,10 @@
 // One real gateway process on loopback before a hollow discovery: what a list and its changes cost it.
-#ifndef THORNSPOKE_LAB_CONTROL_H_
-#define THORNSPOKE_LAB_CONTROL_H_
+#ifndef GATEWAY_LAB_CONTROL_H_
+#define GATEWAY_LAB_CONTROL_H_
 
 #include <string>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 struct ControlSpec {
   std::string gateway;  // the program
@@ -26,6 +26,6 @@
 // Throws std::runtime_error, in plain words, where the program can't be started or is not ready in 30 s.
 ControlCount RunControl(const ControlSpec& spec);
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_CONTROL_H_
+#endif  // GATEWAY_LAB_CONTROL_H_
--- a/lab/counter.cpp
+++ b/lab/counter.cpp
@@ -1,10 +1,10 @@
-#include "counter.h"
+#include "lab/counter.h"
 
 #include <algorithm>
 
-#include "random.h"
+#include "lab/random.h"
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 Counter::Answer Counter::Call(double now_s, uint64_t name, double amount, double life_s) {
   ++calls_;
@@ -26,4 +26,4 @@
   return {start + spec_.call_s, false, number.total};
 }
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
--- a/lab/counter.h
+++ b/lab/counter.h
@@ -1,13 +1,13 @@
 // A hollow counter: numbers by name on a few parts, each of which serves calls in turn at a bounded rate.
-#ifndef THORNSPOKE_LAB_COUNTER_H_
-#define THORNSPOKE_LAB_COUNTER_H_
+#ifndef GATEWAY_LAB_COUNTER_H_
+#define GATEWAY_LAB_COUNTER_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <unordered_map>
 #include <vector>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 struct CounterSpec {
   double calls_per_s = 800;  // of all parts together
@@ -44,6 +44,6 @@
   double swept_at_ = 0;
 };
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_COUNTER_H_
+#endif  // GATEWAY_LAB_COUNTER_H_
--- a/lab/fleet.h
+++ b/lab/fleet.h
@@ -1,18 +1,18 @@
 // A whole fleet in simulated time: real decision modules, hollow everything else. Counts what all do
 // together.
-#ifndef THORNSPOKE_LAB_FLEET_H_
-#define THORNSPOKE_LAB_FLEET_H_
+#ifndef GATEWAY_LAB_FLEET_H_
+#define GATEWAY_LAB_FLEET_H_
 
 #include <cstdint>
 #include <memory>
 #include <string>
 #include <vector>
 
-#include "balance.h"
-#include "counter.h"
-#include "histogram.h"
+#include "lab/counter.h"
+#include "lab/histogram.h"
+#include "policy/admission_policy.h"
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 struct FleetSpec {
   int gateways = 3, backends = 12, zones = 3, tenants = 150;
@@ -71,8 +71,8 @@
 FleetCount RunFleet(const FleetSpec& spec);
 
 // The settings that each gateway of such a fleet is given.
-micadock::Settings FleetSettings(const FleetSpec& spec, int gateway);
+policy::Settings FleetSettings(const FleetSpec& spec);
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_FLEET_H_
+#endif  // GATEWAY_LAB_FLEET_H_
--- a/lab/histogram.h
+++ b/lab/histogram.h
@@ -1,13 +1,13 @@
 // A histogram of bounded size whose bins grow by a fixed factor, so that every percentile is within 2.2%.
-#ifndef THORNSPOKE_LAB_HISTOGRAM_H_
-#define THORNSPOKE_LAB_HISTOGRAM_H_
+#ifndef GATEWAY_LAB_HISTOGRAM_H_
+#define GATEWAY_LAB_HISTOGRAM_H_
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <cstdint>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 class Histogram {
  public:
@@ -50,6 +50,6 @@
   double sum_ = 0;
 };
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_HISTOGRAM_H_
+#endif  // GATEWAY_LAB_HISTOGRAM_H_
--- a/lab/random.h
+++ b/lab/random.h
@@ -1,11 +1,11 @@
 // Seeded randomness of the lab: the same seed gives the same draws on every machine.
-#ifndef THORNSPOKE_LAB_RANDOM_H_
-#define THORNSPOKE_LAB_RANDOM_H_
+#ifndef GATEWAY_LAB_RANDOM_H_
+#define GATEWAY_LAB_RANDOM_H_
 
 #include <cmath>
 #include <cstdint>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 // One step of SplitMix64 (Steele, Lea, Flood 2014).
 inline uint64_t Mix(uint64_t x) {
@@ -31,6 +31,6 @@
   uint64_t state_;
 };
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_RANDOM_H_
+#endif  // GATEWAY_LAB_RANDOM_H_
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -1,11 +1,11 @@
-#include "report.h"
+#include "lab/report.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 std::string Report::Table() const {
   auto line = [](const std::vector<std::string>& cells) {
@@ -64,4 +64,4 @@
   return line;
 }
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
--- a/lab/report.h
+++ b/lab/report.h
@@ -1,11 +1,11 @@
 // Tables for people and JSON for programs, from the same rows.
-#ifndef THORNSPOKE_LAB_REPORT_H_
-#define THORNSPOKE_LAB_REPORT_H_
+#ifndef GATEWAY_LAB_REPORT_H_
+#define GATEWAY_LAB_REPORT_H_
 
 #include <string>
 #include <vector>
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 class Report {
  public:
@@ -32,6 +32,6 @@
 };
 Line Fit(const std::vector<double>& x, const std::vector<double>& y);
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_REPORT_H_
+#endif  // GATEWAY_LAB_REPORT_H_
--- a/lab/slopes.h
+++ b/lab/slopes.h
@@ -1,13 +1,13 @@
 // The points behind docs/CAPACITY.md, run one after another, and the lines fitted through them.
-#ifndef THORNSPOKE_LAB_SLOPES_H_
-#define THORNSPOKE_LAB_SLOPES_H_
+#ifndef GATEWAY_LAB_SLOPES_H_
+#define GATEWAY_LAB_SLOPES_H_
 
 #include <string>
 #include <vector>
 
-#include "report.h"
+#include "lab/report.h"
 
-namespace thornspoke::lab {
+namespace gateway::lab {
 
 // Processor time of the module: a request's decision, and a whole list.
 struct ModuleCost {
@@ -18,6 +18,6 @@
 // All tables of the page. `gateway`: the real program, for `control`. `brief`: fewer and shorter points.
 std::vector<Report> RunSlopes(const std::string& gateway, bool brief);
 
-}  // namespace thornspoke::lab
+}  // namespace gateway::lab
 
-#endif  // THORNSPOKE_LAB_SLOPES_H_
+#endif  // GATEWAY_LAB_SLOPES_H_
--- a/src/net/config.cpp
+++ b/src/config/gateway_config.cpp
@@ -1,13 +1,12 @@
-#include "net/config.h"
+#include "config/gateway_config.h"
 
 #include <charconv>
 #include <fstream>
 #include <sstream>
 
-namespace ivygw {
+namespace gateway::config {
 namespace {
 
-using micadock::WireError;
 using nlohmann::json;
 
 void FlattenInto(const std::string& path, const json& value, std::string* out) {
@@ -34,8 +33,8 @@
 
 std::string Text(const json& from, const char* key) {
   auto it = from.find(key);
-  if (it == from.end()) throw WireError(std::string("setting is missing: ") + key);
-  if (!it->is_string()) throw WireError(std::string("setting is unreadable: ") + key);
+  if (it == from.end()) throw ConfigError::Missing(key);
+  if (!it->is_string()) throw ConfigError::Unreadable(key);
   return it->get<std::string>();
 }
 
@@ -68,13 +67,13 @@
     auto [end, bad] = std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
     good = !error && bad == std::errc() && end == text.data() + text.size();
   }
-  if (!good) throw WireError("setting is unreadable: " + key + "=" + text);
+  if (!good) throw ConfigError::Unreadable(key, text);
   return {address, port};
 }
 
 Config ParseConfig(const std::string& text) {
   json all = json::parse(text, nullptr, false);
-  if (!all.is_object()) throw WireError("the configuration is not a JSON object");
+  if (!all.is_object()) throw ConfigError("", "the configuration is not a JSON object");
   Config config;
   config.name = Text(all, "name");
   config.listen = ParseAddress("listen", Text(all, "listen"));
@@ -86,15 +85,15 @@
   std::string seed = Text(all, "seed");
   auto [end, bad] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
   if (bad != std::errc() || end != seed.data() + seed.size()) {
-    throw WireError("setting is unreadable: seed=" + seed);
+    throw ConfigError::Unreadable("seed", seed);
   }
   if (auto limits = all.find("limits"); limits != all.end()) {
-    if (!limits->is_object()) throw WireError("setting is unreadable: limits");
+    if (!limits->is_object()) throw ConfigError::Unreadable("limits");
     auto read = [&](const char* key, int least, int* value) {
       auto it = limits->find(key);
       if (it == limits->end()) return;
       if (!it->is_number_integer() || *it < least || *it > 1000000) {
-        throw WireError(std::string("setting is unreadable: limits.") + key);
+        throw ConfigError::Unreadable(std::string("limits.") + key);
       }
       *value = it->get<int>();
     };
@@ -103,35 +102,36 @@
   }
   if (auto known = all.find("known"); known != all.end()) config.known = *known;
   auto settings = all.find("settings");
-  if (settings == all.end()) throw WireError("setting is missing: settings");
-  if (!settings->is_object()) throw WireError("setting is unreadable: settings");
+  if (settings == all.end()) throw ConfigError::Missing("settings");
+  if (!settings->is_object()) throw ConfigError::Unreadable("settings");
   std::string flat = Flatten(*settings);
-  config.settings = micadock::ParseSettings(flat);
-  config.site = micadock::ParseSite(flat);
-  if (config.settings.may_count && !config.has_counter) throw WireError("setting is missing: counter");
+  config.settings = ParseSettings(flat);
+  config.site = ParseDeploymentSettings(flat);
+  if (config.settings.counter_enabled && !config.has_counter) throw ConfigError::Missing("counter");
   return config;
 }
 
 void CheckSameGateway(const Config& now, const Config& fresh) {
   auto effects = [](const Config& config) {
-    std::vector<micadock::Effect> all;
-    for (const auto& cls : config.settings.classes) all.push_back(cls.effect);
+    std::vector<policy::Idempotency> all;
+    for (const auto& cls : config.settings.classes) all.push_back(cls.idempotency);
     return all;
   };
   const char* other = fresh.name != now.name       ? "name"
                       : fresh.listen != now.listen ? "listen"
-                      : fresh.site.classes != now.site.classes || effects(fresh) != effects(now)
+                      : fresh.site.class_names != now.site.class_names || effects(fresh) != effects(now)
                           ? "settings.request-classes"
-                      : fresh.site.plans != now.site.plans ? "settings.tiers-of-service"
-                                                           : nullptr;
-  if (other != nullptr) throw WireError(std::string("the configuration is another gateway's: ") + other);
+                      : fresh.site.plan_names != now.site.plan_names ? "settings.tiers-of-service"
+                                                                     : nullptr;
+  if (other != nullptr)
+    throw ConfigError(other, std::string("the configuration is another gateway's: ") + other);
 }
 
 Config LoadConfig(const std::string& path) {
   std::ifstream in(path);
   std::stringstream text;
-  if (!in || !(text << in.rdbuf())) throw WireError("cannot read the configuration " + path);
+  if (!in || !(text << in.rdbuf())) throw ConfigError("", "cannot read the configuration " + path);
   return ParseConfig(text.str());
 }
 
-}  // namespace ivygw
+}  // namespace gateway::config
--- a/src/net/config.h
+++ b/src/config/gateway_config.h
@@ -1,16 +1,17 @@
 // Reads a gateway's config.json into settings; holds no decision.
-#ifndef IVYGW_NET_CONFIG_H_
-#define IVYGW_NET_CONFIG_H_
+#ifndef GATEWAY_CONFIG_GATEWAY_CONFIG_H_
+#define GATEWAY_CONFIG_GATEWAY_CONFIG_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <string_view>
 
-#include "balance.h"
-#include "wire.h"
+#include "config/config_error.h"
+#include "config/settings_parser.h"
+#include "policy/admission_policy.h"
 
-namespace ivygw {
+namespace gateway::config {
 
 using boost::asio::ip::tcp;
 
@@ -24,11 +25,11 @@
   int sockets = 1024;
   int memory_mb = 192;
   nlohmann::json known;  // null where the gateway has no list yet
-  micadock::Settings settings;
-  micadock::SiteSettings site;
+  policy::Settings settings;
+  DeploymentSettings site;
 };
 
-// "10.0.0.4:5000"; throws micadock::WireError naming `key` on anything else.
+// "10.0.0.4:5000"; throws ConfigError naming `key` on anything else.
 tcp::endpoint ParseAddress(const std::string& key, const std::string& text);
 
 // The path=value lines that ParseSettings reads, from the nested form of the same settings.
@@ -37,12 +38,12 @@
 // Spaces and commas in names become '_', as they do in the flat form.
 std::string PlainName(std::string_view name);
 
-// Throws micadock::WireError, in plain words, on what is missing or unreadable.
+// Throws ConfigError, in plain words, on what is missing or unreadable.
 Config ParseConfig(const std::string& text);
-// Throws micadock::WireError where `fresh` is another gateway's or another customer's configuration.
+// Throws ConfigError where `fresh` is another gateway's or another customer's configuration.
 void CheckSameGateway(const Config& now, const Config& fresh);
 Config LoadConfig(const std::string& path);
 
-}  // namespace ivygw
+}  // namespace gateway::config
 
-#endif  // IVYGW_NET_CONFIG_H_
+#endif  // GATEWAY_CONFIG_GATEWAY_CONFIG_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// ivygw: one real gateway. Starts it, waits for signals, gives the exit status.
+// api-gateway: one real gateway. Starts it, waits for signals, gives the exit status.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
@@ -11,23 +11,24 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     const char* path = std::getenv("LB_CONFIG");
-    if (path == nullptr) throw micadock::WireError("LB_CONFIG does not name the configuration");
+    if (path == nullptr)
+      throw gateway::config::ConfigError("LB_CONFIG", "LB_CONFIG does not name the configuration");
     // Signals first, so that one that comes during the start waits for its end.
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
-    ivygw::Config config = ivygw::LoadConfig(path);
-    ivygw::Gateway gateway(io, config);
+    gateway::config::Config config = gateway::config::LoadConfig(path);
+    gateway::net::Gateway server(io, config);
     signals.async_wait([&](boost::system::error_code error, int) {
       if (error) return;
       std::fprintf(stderr, "closing\n");
-      gateway.Shutdown();
+      server.Shutdown();
     });
     // The file may name other addresses of discovery and counter. One that can't be read changes nothing.
     std::function<void()> await_reload = [&] {
       reload.async_wait([&](boost::system::error_code error, int) {
         if (error) return;
         try {
-          gateway.Reload(ivygw::LoadConfig(path));
+          server.Reload(gateway::config::LoadConfig(path));
           std::fprintf(stderr, "configuration read again\n");
         } catch (const std::exception& bad) {
           std::fprintf(stderr, "configuration kept as it was: %s\n", bad.what());
@@ -36,12 +37,12 @@
       });
     };
     await_reload();
-    auto local = gateway.local();
+    auto local = server.local();
     std::fprintf(stderr, "%s listens on %s:%d\n", config.name.c_str(), local.address().to_string().c_str(),
                  local.port());
     io.run();
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "ivygw: %s\n", error.what());
+    std::fprintf(stderr, "api-gateway: %s\n", error.what());
     return 1;
   }
   return 0;
--- a/src/net/backend_pool.cpp
+++ b/src/net/backend_pool.cpp
@@ -6,9 +6,9 @@
 #include <iterator>
 #include <optional>
 
-namespace ivygw {
+namespace gateway::net {
 
-using micadock::Result;
+using policy::CallResult;
 
 namespace {
 
@@ -103,14 +103,14 @@
       if (error || closed_ || Clock::now() < timer_.expiry()) return;
       if (!busy_) return DropIdle();
       // What never came up, or is not all written, has run nothing.
-      Finish(written() ? Result::kTimeout : Result::kConnectFailed);
+      Finish(written() ? CallResult::kTimeout : CallResult::kConnectFailed);
     });
   }
 
   void Connect() {
     error_code error = Open(socket_, address_);
     if (error) {  // out of descriptors or of memory: no fault of the backend
-      return asio::post(pool_->io_, [self = shared_from_this(), this] { Finish(Result::kNeverSent); });
+      return asio::post(pool_->io_, [self = shared_from_this(), this] { Finish(CallResult::kNeverSent); });
     }
     WaitUntil(std::min(give_up_, began_ + pool_->connect_timeout_));
     socket_.async_connect(address_, [self = shared_from_this(), this](error_code failed) {
@@ -120,8 +120,8 @@
       const Backend* b = pool_->Find(backend_);
       bool late = Clock::now() >= give_up_ || b == nullptr || b->address != address_ ||
                   (b->draining && Clock::now() >= b->no_send_after);
-      if (failed || late) return Finish(Result::kConnectFailed);
-      if (!wanted_()) return Finish(Result::kNeverSent);
+      if (failed || late) return Finish(CallResult::kConnectFailed);
+      if (!wanted_()) return Finish(CallResult::kNeverSent);
       open_ = true;
       WaitUntil(give_up_);
       Write();
@@ -141,7 +141,8 @@
         return;
       }
       // Before its last byte was written a request has not begun. Posted: the caller may be in Begin.
-      Result result = error == asio::error::operation_aborted ? Result::kNeverSent : Result::kConnectFailed;
+      CallResult result =
+          error == asio::error::operation_aborted ? CallResult::kNeverSent : CallResult::kConnectFailed;
       asio::post(pool_->io_, [self, this, mine, result] {
         if (busy_ && attempt_ == mine) Finish(result);
       });
@@ -168,7 +169,7 @@
           // A body that only the end of the connection ends may have been cut short.
           bool whole = !bad && parser_->is_done() && parser_->get().result_int() != 200;
           if (error == asio::error::eof && whole) return Answered(false);
-          Finish(written() ? Result::kReset : Result::kConnectFailed);
+          Finish(written() ? CallResult::kReset : CallResult::kConnectFailed);
         });
   }
 
@@ -176,14 +177,14 @@
     for (;;) {
       // Garbage, or an answer past every bound, ends this exchange.
       bool bad = Feed(*parser_, buffer_) || interim_ > kMostInterim;
-      if (bad) return Finish(written() ? Result::kReset : Result::kConnectFailed);
+      if (bad) return Finish(written() ? CallResult::kReset : CallResult::kConnectFailed);
       if (!parser_->is_done()) return;
       if (parser_->get().result_int() / 100 != 1) break;
       ++interim_;  // an interim answer: the final one follows
       Renew(&parser_, kMaxAnswer);
     }
     // An answer to a request that is not all written: it has not begun, and the framing is in doubt.
-    if (!written()) return Finish(Result::kConnectFailed);
+    if (!written()) return Finish(CallResult::kConnectFailed);
     Answered(parser_->keep_alive() && buffer_.size() == 0);
   }
 
@@ -193,7 +194,7 @@
     unsigned status = answer.result_int();
     bool not_started = View(answer["Not-Started"]) == "1";
     if (status == 200) {
-      end.result = Result::kOk;
+      end.result = CallResult::kOk;
       std::string_view units = View(answer["X-Cost-Units"]);
       double told = 0;
       auto [at, bad] = std::from_chars(units.data(), units.data() + units.size(), told);
@@ -206,12 +207,13 @@
       });
       end.body = std::move(answer.body());
     } else {
-      end.result = (status == 503 || status == 504) && not_started ? Result::kFull : Result::kError;
+      end.result =
+          (status == 503 || status == 504) && not_started ? CallResult::kRejected : CallResult::kError;
     }
     Finish(std::move(end), keep);
   }
 
-  void Finish(Result result) {
+  void Finish(CallResult result) {
     AttemptEnd end;
     end.result = result;
     Finish(std::move(end), false);
@@ -336,7 +338,7 @@
     // The last is this gateway's own shortage, and no fault of the backend.
     asio::post(io_, [done = std::move(done), may] {
       AttemptEnd end;
-      end.result = may ? Result::kNeverSent : Result::kConnectFailed;
+      end.result = may ? CallResult::kNeverSent : CallResult::kConnectFailed;
       done(std::move(end));
     });
     return attempt;
@@ -366,4 +368,4 @@
   while (!idle_order_.empty()) idle_order_.front()->DropIdle();
 }
 
-}  // namespace ivygw
+}  // namespace gateway::net
--- a/src/net/backend_pool.h
+++ b/src/net/backend_pool.h
@@ -1,7 +1,7 @@
 // Connections to backends, the attempts on them and how these end. Decides nothing: it sends where it is told
 // and reports one outcome for each attempt.
-#ifndef IVYGW_NET_BACKEND_POOL_H_
-#define IVYGW_NET_BACKEND_POOL_H_
+#ifndef GATEWAY_NET_BACKEND_POOL_H_
+#define GATEWAY_NET_BACKEND_POOL_H_
 
 #include <chrono>
 #include <functional>
@@ -9,10 +9,10 @@
 #include <memory>
 #include <unordered_map>
 
-#include "balance.h"
 #include "net/http.h"
+#include "policy/admission_policy.h"
 
-namespace ivygw {
+namespace gateway::net {
 
 using Clock = std::chrono::steady_clock;
 inline Clock::duration Seconds(double s) {
@@ -20,7 +20,7 @@
 }
 
 struct AttemptEnd {
-  micadock::Result result = micadock::Result::kOk;
+  policy::CallResult result = policy::CallResult::kOk;
   double took_s = 0;
   double true_units = 0;
   std::string headers;  // end-to-end header lines of a good answer
@@ -79,6 +79,6 @@
   std::list<Connection*> idle_order_;                              // longest idle first
 };
 
-}  // namespace ivygw
+}  // namespace gateway::net
 
-#endif  // IVYGW_NET_BACKEND_POOL_H_
+#endif  // GATEWAY_NET_BACKEND_POOL_H_
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-namespace ivygw {
+namespace gateway::net {
 namespace {
 
 // What is read of a client ahead of its answer. Past that nothing is until it is answered, so that clients
@@ -395,4 +395,4 @@
   }
 }
 
-}  // namespace ivygw
+}  // namespace gateway::net
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -1,6 +1,6 @@
 // The side towards clients: the listener, their connections, parsing and answers.
-#ifndef IVYGW_NET_CLIENT_SERVER_H_
-#define IVYGW_NET_CLIENT_SERVER_H_
+#ifndef GATEWAY_NET_CLIENT_SERVER_H_
+#define GATEWAY_NET_CLIENT_SERVER_H_
 
 #include <functional>
 #include <list>
@@ -9,7 +9,7 @@
 
 #include "net/backend_pool.h"
 
-namespace ivygw {
+namespace gateway::net {
 
 using ClientMessage = http::request<http::string_body>;
 
@@ -69,6 +69,6 @@
   std::list<uint64_t> unfinished_;  // begun but not whole, or lingering: the first to begin first
 };
 
-}  // namespace ivygw
+}  // namespace gateway::net
 
-#endif  // IVYGW_NET_CLIENT_SERVER_H_
+#endif  // GATEWAY_NET_CLIENT_SERVER_H_
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -8,10 +8,10 @@
 #include <cstdio>
 #include <cstring>
 
-namespace ivygw {
+namespace gateway::net {
 
-using micadock::CountAnswer;
-using micadock::Result;
+using policy::CallResult;
+using policy::CounterReply;
 
 namespace {
 
@@ -96,7 +96,8 @@
     client_->Lost(this, failed && !leaving_);
     auto calls = std::move(calls_);
     calls_.clear();
-    for (auto& call : calls) client_->End(call, call->written ? Result::kTimeout : Result::kConnectFailed);
+    for (auto& call : calls)
+      client_->End(call, call->written ? CallResult::kTimeout : CallResult::kConnectFailed);
   }
   // Takes no further call. Closed when what is out is answered; what was not written yet never goes out.
   void Leave() {
@@ -165,14 +166,14 @@
   // Answers come in the order of the calls, those past their time-out among them. False on garbage.
   bool Take(const redisReply& reply) {
     if (calls_.empty()) return false;
-    Result result = Result::kOk;
+    CallResult result = CallResult::kOk;
     double total = 0;
     if (reply.type == REDIS_REPLY_STRING) {
       const char* end = reply.str + reply.len;
       auto [at, bad] = std::from_chars(reply.str, end, total);
       if (bad != std::errc() || at != end || !std::isfinite(total)) return false;
     } else if (reply.type == REDIS_REPLY_ERROR) {
-      result = Result::kFull;  // -BUSY and -ERR: nothing was added
+      result = CallResult::kRejected;  // -BUSY and -ERR: nothing was added
     } else {
       return false;
     }
@@ -258,7 +259,7 @@
   call->give_up = Clock::now() + timeout_;
   Connection* connection = Choose();
   if (connection == nullptr || connection->out() >= kMostOut) {
-    return asio::post(io_, [this, call] { End(call, Result::kConnectFailed); });
+    return asio::post(io_, [this, call] { End(call, CallResult::kConnectFailed); });
   }
   char key[17], sum[64], keep[16];
   int key_n = std::snprintf(key, sizeof(key), "%016llx", static_cast<unsigned long long>(name));
@@ -276,11 +277,11 @@
   ArmTimeouts();
 }
 
-void CounterClient::End(const std::shared_ptr<Pending>& call, Result result, double total) {
+void CounterClient::End(const std::shared_ptr<Pending>& call, CallResult result, double total) {
   if (call->ended) return;
   call->ended = true;
-  CountAnswer answer;
-  answer.name = call->name;
+  CounterReply answer;
+  answer.key = call->name;
   answer.total = total;
   answer.result = result;
   done_(answer);
@@ -297,7 +298,7 @@
     while (!waiting_.empty() && (waiting_.front()->ended || Clock::now() >= waiting_.front()->give_up)) {
       auto call = std::move(waiting_.front());
       waiting_.pop_front();
-      End(call, call->written ? Result::kTimeout : Result::kConnectFailed);
+      End(call, call->written ? CallResult::kTimeout : CallResult::kConnectFailed);
     }
     ArmTimeouts();
   });
@@ -313,4 +314,4 @@
   not_before_ = Clock::now() + backoff_;
 }
 
-}  // namespace ivygw
+}  // namespace gateway::net
--- a/src/net/counter_client.h
+++ b/src/net/counter_client.h
@@ -1,20 +1,20 @@
 // Calls to the counter over RESP2, pipelined on few connections. Each call ends exactly once.
-#ifndef IVYGW_NET_COUNTER_CLIENT_H_
-#define IVYGW_NET_COUNTER_CLIENT_H_
+#ifndef GATEWAY_NET_COUNTER_CLIENT_H_
+#define GATEWAY_NET_COUNTER_CLIENT_H_
 
 #include <deque>
 #include <functional>
 #include <memory>
 #include <vector>
 
-#include "balance.h"
 #include "net/backend_pool.h"
+#include "policy/admission_policy.h"
 
-namespace ivygw {
+namespace gateway::net {
 
 class CounterClient {
  public:
-  using Done = std::function<void(micadock::CountAnswer)>;
+  using Done = std::function<void(policy::CounterReply)>;
 
   CounterClient(asio::io_context& io, tcp::endpoint address, double timeout_s, double connect_timeout_s,
                 Done done);
@@ -35,7 +35,7 @@
   };
 
   Connection* Choose();
-  void End(const std::shared_ptr<Pending>& call, micadock::Result result, double total = 0);
+  void End(const std::shared_ptr<Pending>& call, policy::CallResult result, double total = 0);
   void ArmTimeouts();
   void Lost(Connection* connection, bool failed);
 
@@ -52,6 +52,6 @@
   Clock::time_point not_before_{};
 };
 
-}  // namespace ivygw
+}  // namespace gateway::net
 
-#endif  // IVYGW_NET_COUNTER_CLIENT_H_
+#endif  // GATEWAY_NET_COUNTER_CLIENT_H_
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -4,12 +4,11 @@
 #include <cmath>
 #include <utility>
 
-#include "net/config.h"
+#include "config/gateway_config.h"
 
-namespace ivygw {
+namespace gateway::net {
 namespace {
 
-using micadock::WireError;
 using nlohmann::json;
 
 constexpr size_t kMaxList = size_t{8} << 20;
@@ -22,7 +21,7 @@
 constexpr int kFailuresToWhole = 3;  // in a row, after which the whole list is asked for
 
 int Position(const std::vector<std::string>& names, const std::string& name) {
-  auto it = std::find(names.begin(), names.end(), PlainName(name));
+  auto it = std::find(names.begin(), names.end(), config::PlainName(name));
   return static_cast<int>(it -
                           names.begin());  // one that the settings do not name comes after all that they do
 }
@@ -44,7 +43,7 @@
   return id;
 }
 
-BackendList ParseList(const json& list, const micadock::SiteSettings& site, BackendIds* ids) {
+BackendList ParseList(const json& list, const config::DeploymentSettings& site, BackendIds* ids) {
   BackendList out;
   std::vector<std::pair<std::string, Listed>> named;
   try {
@@ -52,30 +51,33 @@
     out.full = list.at("snapshot").get<bool>();
     for (const json& entry : list.at("endpoints")) {
       Listed listed;
-      micadock::Backend& b = listed.backend;
+      policy::Endpoint& b = listed.backend;
       std::string status = entry.at("status").get<std::string>();
       if (status == "active") {
-        b.state = micadock::BackendState::kReady;
+        b.state = policy::EndpointState::kReady;
       } else if (status == "leaving") {
-        b.state = micadock::BackendState::kDraining;
+        b.state = policy::EndpointState::kDraining;
       } else if (status == "left") {
-        b.state = micadock::BackendState::kGone;
+        b.state = policy::EndpointState::kRemoved;
       } else {
-        throw WireError("unknown status " + status);
+        throw DiscoveryError("unknown status " + status);
       }
-      if (b.state != micadock::BackendState::kGone || entry.contains("address")) {
-        listed.address = ParseAddress("address", entry.at("address").get<std::string>());
+      if (b.state != policy::EndpointState::kRemoved || entry.contains("address")) {
+        listed.address = config::ParseAddress("address", entry.at("address").get<std::string>());
       }
-      b.kind = Position(site.kinds, entry.value("type", ""));
-      b.zone = Position(site.zones, entry.value("zone", ""));
+      b.kind = Position(site.endpoint_kinds, entry.value("type", ""));
+      b.zone = Position(site.zone_names, entry.value("zone", ""));
       b.cell = entry.value("group", 0);
       b.weight = entry.value("weight", 1.0);
       b.started_s = entry.value("since_ms", 0.0) / 1000;
-      if (!std::isfinite(b.weight) || !std::isfinite(b.started_s)) throw WireError("a figure is not finite");
+      if (!std::isfinite(b.weight) || !std::isfinite(b.started_s))
+        throw DiscoveryError("a figure is not finite");
       named.emplace_back(entry.at("name").get<std::string>(), listed);
     }
+  } catch (const config::ConfigError& error) {
+    throw DiscoveryError(error.what());
   } catch (const json::exception& error) {
-    throw WireError(error.what());
+    throw DiscoveryError(error.what());
   }
   // By name, so that names of one hash get the same ids wherever they are first met together.
   std::vector<std::string> names;
@@ -90,7 +92,7 @@
 }
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint address,
-                                 const micadock::SiteSettings& site, BackendIds* ids, OnList on_list,
+                                 const config::DeploymentSettings& site, BackendIds* ids, OnList on_list,
                                  OnFailed on_failed)
     : io_(io),
       address_(address),
@@ -255,4 +257,4 @@
   on_failed_();
 }
 
-}  // namespace ivygw
+}  // namespace gateway::net
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -1,23 +1,24 @@
 // Follows discovery: the whole list once, then one watch after another. Turns names into the module's ids.
-#ifndef IVYGW_NET_DISCOVERY_CLIENT_H_
-#define IVYGW_NET_DISCOVERY_CLIENT_H_
+#ifndef GATEWAY_NET_DISCOVERY_CLIENT_H_
+#define GATEWAY_NET_DISCOVERY_CLIENT_H_
 
 #include <functional>
 #include <memory>
 #include <nlohmann/json.hpp>
 #include <optional>
+#include <stdexcept>
 #include <string>
 #include <unordered_map>
 #include <vector>
 
-#include "balance.h"
+#include "config/settings_parser.h"
 #include "net/backend_pool.h"
-#include "wire.h"
+#include "policy/admission_policy.h"
 
-namespace ivygw {
+namespace gateway::net {
 
 struct Listed {
-  micadock::Backend backend;
+  policy::Endpoint backend;
   tcp::endpoint address;
 };
 struct BackendList {
@@ -43,8 +44,14 @@
   std::unordered_map<uint32_t, std::string> names_;
 };
 
-// Throws micadock::WireError on anything that is not a list in discovery's form.
-BackendList ParseList(const nlohmann::json& list, const micadock::SiteSettings& site, BackendIds* ids);
+// What is wrong with an endpoint list.
+class DiscoveryError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+// Throws DiscoveryError on anything that is not a list in discovery's form.
+BackendList ParseList(const nlohmann::json& list, const config::DeploymentSettings& site, BackendIds* ids);
 
 class DiscoveryClient {
  public:
@@ -73,7 +80,7 @@
   using OnList = std::function<void(BackendList)>;
   using OnFailed = std::function<void()>;
 
-  DiscoveryClient(asio::io_context& io, tcp::endpoint address, const micadock::SiteSettings& site,
+  DiscoveryClient(asio::io_context& io, tcp::endpoint address, const config::DeploymentSettings& site,
                   BackendIds* ids, OnList on_list, OnFailed on_failed);
 
   void Start();                             // no-op once running: what fails is tried again here
@@ -93,7 +100,7 @@
 
   asio::io_context& io_;
   tcp::endpoint address_;
-  const micadock::SiteSettings& site_;
+  const config::DeploymentSettings& site_;
   const double learn_s_;  // in which a change has to be learnt, whatever falls silent
   BackendIds* ids_;
   OnList on_list_;
@@ -117,6 +124,6 @@
 static_assert(DiscoveryClient::WorstLearnS(DiscoveryClient::kLearnMostS) < DiscoveryClient::kToldS);
 static_assert(DiscoveryClient::WorstMoveS(DiscoveryClient::kLearnMostS) < DiscoveryClient::kToldMoveS);
 
-}  // namespace ivygw
+}  // namespace gateway::net
 
-#endif  // IVYGW_NET_DISCOVERY_CLIENT_H_
+#endif  // GATEWAY_NET_DISCOVERY_CLIENT_H_
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -5,14 +5,13 @@
 #include <cmath>
 #include <cstdio>
 
-namespace ivygw {
+namespace gateway::net {
 
-using micadock::Action;
-using micadock::ActionKind;
-using micadock::Effect;
-using micadock::ListKind;
-using micadock::Outcome;
-using micadock::Result;
+using policy::Action;
+using policy::AttemptOutcome;
+using policy::CallResult;
+using policy::EndpointUpdateKind;
+using policy::Idempotency;
 
 namespace {
 
@@ -40,22 +39,22 @@
 // to a backend, and the answer.
 constexpr double kOwnMb = 8, kExchangeMb = 3.0 * (kMaxBody + kMaxHeader) / (1 << 20);
 
-size_t MostClients(const Config& config) {
+size_t MostClients(const config::Config& config) {
   double by_sockets = (config.sockets - kOwnSockets) * kClientShare;
   double by_memory = (config.memory_mb - kOwnMb) / kExchangeMb;
   return static_cast<size_t>(std::max(1.0, std::min(by_sockets, by_memory)));
 }
 
-BackendList KnownList(const Config& config, BackendIds* ids) {
+BackendList KnownList(const config::Config& config, BackendIds* ids) {
   if (config.known.is_null()) return {};
   try {
     return ParseList(config.known, config.site, ids);
-  } catch (const micadock::WireError& error) {
-    throw micadock::WireError(std::string("setting is unreadable: known: ") + error.what());
+  } catch (const DiscoveryError& error) {
+    throw config::ConfigError("known", std::string("setting is unreadable: known: ") + error.what());
   }
 }
 
-double LongestDeadline(const Config& config) {
+double LongestDeadline(const config::Config& config) {
   double longest = 0;
   for (const auto& c : config.settings.classes) longest = std::max(longest, c.deadline_s);
   return longest;
@@ -104,16 +103,16 @@
 
 }  // namespace
 
-ClientCall ReadCall(const ClientMessage& message, const Config& config) {
+ClientCall ReadCall(const ClientMessage& message, const config::Config& config) {
   ClientCall call;
   call.status = 400;
   std::string_view target = View(message.target());
   if (target.empty() || target.front() != '/') return call;
-  micadock::Request& r = call.request;
+  policy::Request& r = call.request;
   std::string_view path = target.substr(1, std::min(target.find_first_of("/?#", 1), target.size()) - 1);
-  r.cls = Position(config.site.classes, PlainName(path));
-  r.plan = Position(config.site.plans, PlainName(View(message["X-Tier"])));
-  if (r.cls < 0 || r.plan < 0) return call;
+  r.request_class = Position(config.site.class_names, config::PlainName(path));
+  r.plan = Position(config.site.plan_names, config::PlainName(View(message["X-Tier"])));
+  if (r.request_class < 0 || r.plan < 0) return call;
   // Said twice is not said. What the module keeps of a customer comes of these, so all of it is looked at
   // before: one bad request in a customer's name must not count as that customer's own.
   for (std::string_view once :
@@ -123,9 +122,9 @@
   call.id = View(message["Request-Id"]);
   if (call.id.empty() || call.id.size() > kMostId) return call;
   auto customer = Part(View(message[http::field::cookie]), ';', "client");
-  if (!customer || customer->size() > 16 || !Number(*customer, &r.customer, 16)) return call;
-  if (r.customer >= kCustomers) return call;
-  const micadock::ClassSettings& cls = config.settings.classes[static_cast<size_t>(r.cls)];
+  if (!customer || customer->size() > 16 || !Number(*customer, &r.tenant, 16)) return call;
+  if (r.tenant >= kCustomers) return call;
+  const policy::ClassSettings& cls = config.settings.classes[static_cast<size_t>(r.request_class)];
   unsigned long timeout_ms = 0;
   if (!Number(View(message["Request-Timeout-Ms"]), &timeout_ms) || timeout_ms < 1) return call;
   if (timeout_ms > kMostTimeoutMs) return call;
@@ -133,26 +132,28 @@
   std::string_view terms = View(message["X-Call-Terms"]);
   auto units = Part(terms, ',', "units"), spread = Part(terms, ',', "spread"),
        first = Part(terms, ',', "first");
-  if (!units || !Number(*units, &r.units) || !std::isfinite(r.units) || r.units <= 0) return call;
-  if (config.settings.max_units > 0 && r.units > config.settings.max_units) return call;
-  int gateways = std::max(1, config.settings.gateways), entries = 0, from = 0;
+  if (!units || !Number(*units, &r.cost_units) || !std::isfinite(r.cost_units) || r.cost_units <= 0)
+    return call;
+  if (config.settings.max_request_units > 0 && r.cost_units > config.settings.max_request_units) return call;
+  int gateways = std::max(1, config.settings.gateway_count), entries = 0, from = 0;
   if (!spread || !Number(*spread, &entries) || entries < 1 || entries > gateways) return call;
   if (!first || !Number(*first, &from) || from < 0 || from >= gateways) return call;
-  r.entries = entries;
-  Effect effect = cls.effect;
-  if (effect == Effect::kGuarded && View(message["Idempotency-Key"]).empty()) return call;
+  r.ingress_gateways = entries;
+  Idempotency effect = cls.idempotency;
+  if (effect == Idempotency::kIdempotencyKey && View(message["Idempotency-Key"]).empty()) return call;
   call.status = 405;
-  if (message.method() != (effect == Effect::kFree ? http::verb::get : http::verb::post)) return call;
+  if (message.method() != (effect == Idempotency::kIdempotent ? http::verb::get : http::verb::post))
+    return call;
   call.status = 0;
   return call;
 }
 
-Gateway::Gateway(asio::io_context& io, const Config& config)
+Gateway::Gateway(asio::io_context& io, const config::Config& config)
     : io_(io),
       config_(config),
       epoch_s_(std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count() -
                std::chrono::duration<double>(Clock::now().time_since_epoch()).count()),
-      pool_(io, config.site.conn_idle_s, config.site.connect_timeout_s, config.site.drain_grace_s,
+      pool_(io, config.site.connection_idle_s, config.site.connect_timeout_s, config.site.drain_grace_s,
             static_cast<size_t>((config.sockets - kOwnSockets) * (1 - kClientShare))),
       server_(
           io, MostClients(config),
@@ -161,22 +162,22 @@
       discovery_(
           io, config.discovery, config.site, &ids_,
           [this](BackendList list) {
-            OnList(list, list.full ? ListKind::kFull : ListKind::kDelta);
+            OnList(list, list.full ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta);
             ready_ = true;
           },
           [this] {
-            Tell([](micadock::Balancer& b, double now, micadock::Actions* out) {
-              b.OnList(now, ListKind::kFailed, {}, out);
+            Tell([](policy::AdmissionPolicy& b, double now, policy::Actions* out) {
+              b.OnEndpointUpdate(now, EndpointUpdateKind::kFailed, {}, out);
             });
             ready_ = true;  // by the list as last known
           }),
       timer_(io),
       shutdown_timer_(io) {
   if (config.has_counter) {
-    counter_.emplace(io, config.counter, kCountPatience * config.settings.count_timeout_s,
-                     config.site.connect_timeout_s, [this](micadock::CountAnswer answer) {
-                       Tell([&](micadock::Balancer& b, double now, micadock::Actions* out) {
-                         b.OnCount(now, answer, out);
+    counter_.emplace(io, config.counter, kCountPatience * config.settings.counter_timeout_s,
+                     config.site.connect_timeout_s, [this](policy::CounterReply answer) {
+                       Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out) {
+                         b.OnCounterReply(now, answer, out);
                        });
                      });
     counter_->Start();
@@ -184,7 +185,7 @@
   BackendList known = KnownList(config, &ids_);
   balancer_.emplace(config.settings, config.seed, Now(), &actions_);
   known.told = Clock::now();
-  OnList(known, ListKind::kCached);
+  OnList(known, EndpointUpdateKind::kCached);
   server_.Listen(config.listen);
   discovery_.Start();
 }
@@ -202,39 +203,48 @@
 void Gateway::Tell(Call call) {
   call(*balancer_, Now(), &actions_);
   acting_.swap(actions_);
-  for (Action& action : acting_) Act(action);
+  for (const Action& action : acting_) Act(action);
   acting_.clear();
 }
 
-void Gateway::Act(Action& action) {
-  switch (action.kind) {
-    case ActionKind::kSend: return SendAttempt(action);
-    case ActionKind::kCancel: return CancelAttempt(action);
-    case ActionKind::kRefuse: {
-      Answer answer;
-      answer.status = action.seconds > 0 ? 429 : 503;
-      answer.retry_after_s = action.seconds;
-      return Finish(action.request, std::move(answer));
-    }
-    case ActionKind::kFail: {
-      Answer answer;
-      answer.status = 502;
-      return Finish(action.request, std::move(answer));
-    }
-    case ActionKind::kTimer:
-      return AddTimer(Clock::now() + Seconds(std::max(0.0, action.seconds)), Due::kModule, action.tag);
-    case ActionKind::kCount:
-      if (counter_) return counter_->Call(action.tag, action.amount, action.seconds);
-      return asio::post(io_, [this, name = action.tag] {
-        Tell([&](micadock::Balancer& b, double now, micadock::Actions* out) {
-          b.OnCount(now, {name, 0, Result::kConnectFailed}, out);
-        });
-      });
-    case ActionKind::kLog: std::fprintf(stderr, "%s\n", action.text.c_str()); return;
-    case ActionKind::kSubscribe: return discovery_.Start();
-  }
+void Gateway::Act(const Action& action) {
+  std::visit([this](const auto& typed) { Act(typed); }, action);
 }
 
+void Gateway::Act(const policy::ForwardAttempt& action) { SendAttempt(action); }
+
+void Gateway::Act(const policy::CancelAttempt& action) { CancelAttempt(action); }
+
+void Gateway::Act(const policy::RejectRequest& action) {
+  Answer answer;
+  answer.status = action.retry_after_s > 0 ? 429 : 503;
+  answer.retry_after_s = action.retry_after_s;
+  Finish(action.request_id, std::move(answer));
+}
+
+void Gateway::Act(const policy::FailRequest& action) {
+  Answer answer;
+  answer.status = 502;
+  Finish(action.request_id, std::move(answer));
+}
+
+void Gateway::Act(const policy::StartTimer& action) {
+  AddTimer(Clock::now() + Seconds(std::max(0.0, action.delay_s)), Due::kModule, action.tag);
+}
+
+void Gateway::Act(const policy::CallCounter& action) {
+  if (counter_) return counter_->Call(action.key, action.amount, action.expiry_s);
+  asio::post(io_, [this, key = action.key] {
+    Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out) {
+      b.OnCounterReply(now, {key, 0, CallResult::kConnectFailed}, out);
+    });
+  });
+}
+
+void Gateway::Act(const policy::LogEvent& action) { std::fprintf(stderr, "%s\n", action.text.c_str()); }
+
+void Gateway::Act(const policy::PollDiscovery&) { discovery_.Start(); }
+
 void Gateway::OnMessage(uint64_t connection, ClientMessage message) {
   std::string_view target = View(message.target());
   if (target.substr(0, 3) == "/-/") {
@@ -271,7 +281,8 @@
   by_connection_[connection] = id;
   double margin = std::min(kMarginS, kMarginShare * call.timeout_s);
   held.deadline = Clock::now() + Seconds(call.timeout_s - margin / 2);
-  held.free = config_.settings.classes[static_cast<size_t>(call.request.cls)].effect == Effect::kFree;
+  held.free = config_.settings.classes[static_cast<size_t>(call.request.request_class)].idempotency ==
+              Idempotency::kIdempotent;
   held.head.reserve(512);
   held.head.append(View(message.method_string())).append(" ").append(target).append(" HTTP/1.1\r\n");
   AppendEndToEnd(message, &held.head, [](const auto& field) {
@@ -283,29 +294,29 @@
   }
   held.body = std::move(message.body());
   call.request.id = id;
-  call.request.left_s = call.timeout_s - margin;
+  call.request.time_left_s = call.timeout_s - margin;
   AddTimer(held.deadline, Due::kGuard, id);
   looked_ = id;
-  Tell([&](micadock::Balancer& b, double now, micadock::Actions* out) {
+  Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out) {
     b.OnRequest(now, call.request, out);
   });
   looked_ = 0;
 }
 
-void Gateway::SendAttempt(const Action& action) {
-  auto it = held_.find(action.request);
+void Gateway::SendAttempt(const policy::ForwardAttempt& action) {
+  auto it = held_.find(action.request_id);
   if (it == held_.end()) return;
   Held& held = it->second;
-  uint32_t id = action.request, backend = action.backend;
+  uint32_t id = action.request_id, backend = action.backend_id;
   int attempt = static_cast<int>(held.attempts.size());
   bool two = held.Out();
   held.attempts.push_back({backend, 0, false});
   double left = std::chrono::duration<double>(held.deadline - Clock::now()).count();
-  double patience = action.seconds == 0 ? left : std::min(action.seconds, left);
+  double patience = action.timeout_s == 0 ? left : std::min(action.timeout_s, left);
   // Whatever the attempt waited for, its client is asked after before each.
   bool gone = looked_ != id && server_.Gone(held.connection);
-  if (held.answered || gone || patience <= 0 || (two && !config_.settings.parallel_tries) ||
-      attempt >= config_.settings.try_limit) {
+  if (held.answered || gone || patience <= 0 || (two && !config_.settings.hedging_enabled) ||
+      attempt >= config_.settings.max_attempts) {
     held.attempts.back().out = true;  // until the outcome is told
     return PostEnd(id, attempt, false);
   }
@@ -326,8 +337,8 @@
   return message;
 }
 
-void Gateway::CancelAttempt(const Action& action) {
-  auto it = held_.find(action.request);
+void Gateway::CancelAttempt(const policy::CancelAttempt& action) {
+  auto it = held_.find(action.request_id);
   if (it == held_.end()) return;
   Held& held = it->second;
   size_t attempt = static_cast<size_t>(action.attempt);
@@ -335,7 +346,7 @@
   bool ran = false;
   if (!pool_.Cancel(held.attempts[attempt].number, &ran)) return;  // its own outcome is on the way
   // Closed before anything else goes out. What was not all written has not run, whatever was meant by it.
-  PostEnd(action.request, action.attempt, ran);
+  PostEnd(action.request_id, action.attempt, ran);
 }
 
 // The outcome of an attempt that the pool does not report, as an event of its own.
@@ -343,7 +354,7 @@
   uint32_t backend = held_.at(id).attempts[static_cast<size_t>(attempt)].backend;
   asio::post(io_, [this, id, attempt, backend, ran] {
     AttemptEnd end;
-    end.result = ran ? Result::kCancelled : Result::kNeverSent;
+    end.result = ran ? CallResult::kCancelled : CallResult::kNeverSent;
     OnEnd(id, attempt, backend, std::move(end));
   });
 }
@@ -364,14 +375,15 @@
   Held& held = it->second;
   held.attempts[static_cast<size_t>(attempt)].out = false;
   reporting_ = id;
-  Result r = end.result;
+  CallResult r = end.result;
   // So that the module tries nowhere else.
-  if (r == Result::kNeverSent && !held.answered && server_.Gone(held.connection))
+  if (r == CallResult::kNeverSent && !held.answered && server_.Gone(held.connection))
     server_.Drop(held.connection);
-  if (r != Result::kFull && r != Result::kConnectFailed && r != Result::kNeverSent) held.may_have_run = true;
+  if (r != CallResult::kRejected && r != CallResult::kConnectFailed && r != CallResult::kNeverSent)
+    held.may_have_run = true;
   // The first good answer goes to the client by itself and ends the request. Told to the module first would
   // be as good, but its client is waiting.
-  if (r == Result::kOk && !held.answered) {
+  if (r == CallResult::kOk && !held.answered) {
     Answer answer;
     answer.status = 200;
     answer.headers = std::move(end.headers);
@@ -384,15 +396,17 @@
 
 void Gateway::Report(uint32_t id, int attempt, uint32_t backend, const AttemptEnd& end) {
   Held& held = held_.at(id);
-  Outcome outcome;
-  outcome.request = id;
+  AttemptOutcome outcome;
+  outcome.request_id = id;
   outcome.attempt = attempt;
-  outcome.took_s = end.took_s;
+  outcome.duration_s = end.took_s;
   outcome.result = end.result;
-  outcome.finished = held.answered;
-  outcome.backend = backend;
-  outcome.true_units = end.true_units;
-  Tell([&](micadock::Balancer& b, double now, micadock::Actions* out) { b.OnOutcome(now, outcome, out); });
+  outcome.request_finished = held.answered;
+  outcome.backend_id = backend;
+  outcome.actual_cost_units = end.true_units;
+  Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out) {
+    b.OnAttemptOutcome(now, outcome, out);
+  });
   reporting_ = 0;
   Forget(id);
 }
@@ -426,7 +440,7 @@
   Answer answer;
   answer.status = held.free || (!held.may_have_run && !held.Out()) ? 503 : 504;
   Finish(id, std::move(answer));
-  Tell([&](micadock::Balancer& b, double now, micadock::Actions* out_) { b.OnAbandoned(now, id, out_); });
+  Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out_) { b.OnClientGone(now, id, out_); });
 }
 
 void Gateway::OnClosed(uint64_t connection, bool held) {
@@ -437,24 +451,24 @@
   by_connection_.erase(it);
   held_.at(id).answered = true;
   DropUnsent(id);
-  Tell([&](micadock::Balancer& b, double now, micadock::Actions* out) { b.OnAbandoned(now, id, out); });
+  Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out) { b.OnClientGone(now, id, out); });
   Forget(id);
 }
 
-void Gateway::OnList(const BackendList& list, ListKind kind) {
-  std::vector<micadock::Backend> entries;
+void Gateway::OnList(const BackendList& list, EndpointUpdateKind kind) {
+  std::vector<policy::Endpoint> entries;
   std::vector<uint32_t> named;
   for (const Listed& listed : list.entries) {
     entries.push_back(listed.backend);
     uint32_t id = listed.backend.id;
     switch (listed.backend.state) {
-      case micadock::BackendState::kReady: pool_.Update(id, listed.address); break;
-      case micadock::BackendState::kDraining: pool_.Drain(id, list.told); break;
-      case micadock::BackendState::kGone: pool_.Remove(id); break;
+      case policy::EndpointState::kReady: pool_.Update(id, listed.address); break;
+      case policy::EndpointState::kDraining: pool_.Drain(id, list.told); break;
+      case policy::EndpointState::kRemoved: pool_.Remove(id); break;
     }
-    if (listed.backend.state != micadock::BackendState::kGone) named.push_back(id);
+    if (listed.backend.state != policy::EndpointState::kRemoved) named.push_back(id);
   }
-  if (kind != ListKind::kDelta) {
+  if (kind != EndpointUpdateKind::kDelta) {
     for (uint32_t id : listed_) {  // absent from the whole list: gone
       if (std::find(named.begin(), named.end(), id) == named.end()) pool_.Remove(id);
     }
@@ -462,12 +476,14 @@
   } else {
     for (const Listed& listed : list.entries) {
       auto at = std::find(listed_.begin(), listed_.end(), listed.backend.id);
-      bool gone = listed.backend.state == micadock::BackendState::kGone;
+      bool gone = listed.backend.state == policy::EndpointState::kRemoved;
       if (gone && at != listed_.end()) listed_.erase(at);
       if (!gone && at == listed_.end()) listed_.push_back(listed.backend.id);
     }
   }
-  Tell([&](micadock::Balancer& b, double now, micadock::Actions* out) { b.OnList(now, kind, entries, out); });
+  Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out) {
+    b.OnEndpointUpdate(now, kind, entries, out);
+  });
 }
 
 void Gateway::AddTimer(Clock::time_point at, Due due, uint64_t tag) {
@@ -493,15 +509,17 @@
         Guard(static_cast<uint32_t>(timer.tag));
         continue;
       }
-      Tell([&](micadock::Balancer& b, double at, micadock::Actions* out) { b.OnTimer(at, timer.tag, out); });
+      Tell([&](policy::AdmissionPolicy& b, double at, policy::Actions* out) {
+        b.OnTimer(at, timer.tag, out);
+      });
     }
     if (!armed_) ArmTimers();
     CheckShutdown();
   });
 }
 
-void Gateway::Reload(const Config& fresh) {
-  CheckSameGateway(config_, fresh);
+void Gateway::Reload(const config::Config& fresh) {
+  config::CheckSameGateway(config_, fresh);
   BackendIds unused;
   KnownList(fresh, &unused);
   discovery_.Move(fresh.discovery);
@@ -542,4 +560,4 @@
   if (by_connection_.empty() && server_.Quiet()) io_.stop();
 }
 
-}  // namespace ivygw
+}  // namespace gateway::net
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -1,7 +1,7 @@
 // The only caller of the decision module: turns what happens on sockets into its calls, and its actions into
 // work. Owns request ids, timers and the clock. Decides nothing.
-#ifndef IVYGW_NET_GATEWAY_H_
-#define IVYGW_NET_GATEWAY_H_
+#ifndef GATEWAY_NET_GATEWAY_H_
+#define GATEWAY_NET_GATEWAY_H_
 
 #include <algorithm>
 #include <memory>
@@ -13,36 +13,36 @@
 #include <unordered_set>
 #include <vector>
 
-#include "balance.h"
+#include "config/gateway_config.h"
 #include "net/backend_pool.h"
 #include "net/client_server.h"
-#include "net/config.h"
 #include "net/counter_client.h"
 #include "net/discovery_client.h"
+#include "policy/admission_policy.h"
 
-namespace ivygw {
+namespace gateway::net {
 
 // What a client's message says; `status` is 0 where it is sound, else the answer to give.
 struct ClientCall {
   int status = 0;
-  micadock::Request request;
+  policy::Request request;
   double timeout_s = 0;
   std::string_view id;  // in the message
 };
-ClientCall ReadCall(const ClientMessage& message, const Config& config);
+ClientCall ReadCall(const ClientMessage& message, const config::Config& config);
 
 class Gateway {
  public:
-  Gateway(asio::io_context& io, const Config& config);
+  Gateway(asio::io_context& io, const config::Config& config);
   ~Gateway();
 
   tcp::endpoint local() const { return server_.local(); }
   // Goes on serving what comes, asks clients to close, and stops the io_context when nothing is held any more
   // or the time for that is over.
   void Shutdown();
-  // Moves to the discovery and counter that it names. Throws micadock::WireError, and changes nothing, where
+  // Moves to the discovery and counter that it names. Throws config::ConfigError, and changes nothing, where
   // it is not this gateway's.
-  void Reload(const Config& fresh);
+  void Reload(const config::Config& fresh);
 
  private:
   struct Attempt {
@@ -72,10 +72,18 @@
   double Now() const;
   template <typename Call>
   void Tell(Call call);
-  void Act(micadock::Action& action);
-  void SendAttempt(const micadock::Action& action);
+  void Act(const policy::Action& action);
+  void Act(const policy::ForwardAttempt& action);
+  void Act(const policy::CancelAttempt& action);
+  void Act(const policy::RejectRequest& action);
+  void Act(const policy::FailRequest& action);
+  void Act(const policy::StartTimer& action);
+  void Act(const policy::CallCounter& action);
+  void Act(const policy::LogEvent& action);
+  void Act(const policy::PollDiscovery& action);
+  void SendAttempt(const policy::ForwardAttempt& action);
   std::string BackendMessage(uint32_t id, double left_s) const;
-  void CancelAttempt(const micadock::Action& action);
+  void CancelAttempt(const policy::CancelAttempt& action);
   void PostEnd(uint32_t id, int attempt, bool ran);
   void DropUnsent(uint32_t id);
   void OnEnd(uint32_t id, int attempt, uint32_t backend, AttemptEnd end);
@@ -86,14 +94,14 @@
 
   void OnMessage(uint64_t connection, ClientMessage message);
   void OnClosed(uint64_t connection, bool held);
-  void OnList(const BackendList& list, micadock::ListKind kind);
+  void OnList(const BackendList& list, policy::EndpointUpdateKind kind);
   void AddTimer(Clock::time_point at, Due due, uint64_t tag);
   void ArmTimers();
   void CheckShutdown();
   Clock::time_point LastAnswer() const;
 
   asio::io_context& io_;
-  const Config& config_;
+  const config::Config& config_;
   const double epoch_s_;  // the system's clock at the monotonic clock's zero
   BackendIds ids_;
   std::vector<uint32_t> listed_;  // backends named by discovery and not gone
@@ -110,13 +118,13 @@
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   asio::steady_timer timer_;
   std::optional<Clock::time_point> armed_;
-  micadock::Actions actions_, acting_;
+  policy::Actions actions_, acting_;
   bool ready_ = false;
   std::optional<Clock::time_point> shutdown_at_;
   asio::steady_timer shutdown_timer_;
-  std::optional<micadock::Balancer> balancer_;
+  std::optional<policy::AdmissionPolicy> balancer_;
 };
 
-}  // namespace ivygw
+}  // namespace gateway::net
 
-#endif  // IVYGW_NET_GATEWAY_H_
+#endif  // GATEWAY_NET_GATEWAY_H_
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,6 +1,6 @@
 // What all HTTP connections of the gateway share: sizes, header copying, and one write a message.
-#ifndef IVYGW_NET_HTTP_H_
-#define IVYGW_NET_HTTP_H_
+#ifndef GATEWAY_NET_HTTP_H_
+#define GATEWAY_NET_HTTP_H_
 
 #include <algorithm>
 #include <boost/asio.hpp>
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <utility>
 
-namespace ivygw {
+namespace gateway::net {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -162,6 +162,6 @@
   socket.close(ignored);
 }
 
-}  // namespace ivygw
+}  // namespace gateway::net
 
-#endif  // IVYGW_NET_HTTP_H_
+#endif  // GATEWAY_NET_HTTP_H_
--- /dev/null
+++ b/src/policy/actions.h
@@ -0,0 +1,61 @@
+// What the decision module asks its caller to do. Actions are carried out in order, after the call returned.
+#ifndef GATEWAY_POLICY_ACTIONS_H_
+#define GATEWAY_POLICY_ACTIONS_H_
+
+#include <cstdint>
+#include <string>
+#include <variant>
+#include <vector>
+
+namespace gateway::policy {
+
+// Sends the request to a backend. Attempts of one request are numbered from 0 in this order.
+struct ForwardAttempt {
+  uint32_t request_id = 0;
+  uint32_t backend_id = 0;
+  double timeout_s = 0;  // 0: until the request's deadline
+};
+
+struct CancelAttempt {
+  uint32_t request_id = 0;
+  int attempt = 0;
+};
+
+// Final answer: the request had no effect, and may be sent again.
+struct RejectRequest {
+  uint32_t request_id = 0;
+  double retry_after_s = 0;  // 0: no Retry-After
+};
+
+// Final answer: the request may have had an effect.
+struct FailRequest {
+  uint32_t request_id = 0;
+};
+
+// Calls OnTimer with `tag` after the delay.
+struct StartTimer {
+  double delay_s = 0;
+  uint64_t tag = 0;
+};
+
+// Adds to a key of the counter, and reads its total.
+struct CallCounter {
+  uint64_t key = 0;
+  double amount = 0;
+  double expiry_s = 0;  // until the counter may forget the key
+};
+
+struct LogEvent {
+  std::string text;  // event name, then key=value
+};
+
+// Asks discovery for the endpoint list.
+struct PollDiscovery {};
+
+using Action = std::variant<ForwardAttempt, CancelAttempt, RejectRequest, FailRequest, StartTimer,
+                            CallCounter, LogEvent, PollDiscovery>;
+using Actions = std::vector<Action>;
+
+}  // namespace gateway::policy
+
+#endif  // GATEWAY_POLICY_ACTIONS_H_
--- a/src/balance.cpp
+++ b/src/policy/admission_policy.cpp
@@ -1,12 +1,12 @@
-// The decision module of micadock: every decision, table and tuned value. Its interface is src/balance.h.
-#include "balance.h"
+// The decision module: every decision, table and constant.
+#include "policy/admission_policy.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <unordered_map>
 
-namespace micadock {
+namespace gateway::policy {
 namespace {
 
 // Tuned values; each is ours unless the paper is named.
@@ -14,15 +14,15 @@
 constexpr int kTicks = 16;              // ticks kept, so that a customer of few requests finds its last one
 constexpr double kBatchShare = 0.25;    // of the tokens left, over the entries: what may be sent untold
 constexpr double kFlushWindows = 0.25;  // windows after which untold units are told anyway
-constexpr double kSlackShare = 0.95;  // of a ceiling's slack that is used: the rest is for rounding
+constexpr double kSlackShare = 0.95;    // of a ceiling's slack that is used: the rest is for rounding
 constexpr double kEpochS = 4;  // s after which attempts out are counted anew: a dead gateway's are gone then
 constexpr double kIdleWindows = 3, kIdleS = 10;  // idle customers are dropped after both
 constexpr double kGapMaxS = 0.3;      // s between a gateway's calls to a counter that fails, but no more
 constexpr double kSilentCalls = 100;  // calls a second than this of all gateways
 constexpr int kSilentRun = 4;         // failed calls in a row after which the counter counts as silent
-constexpr double kLeastPart = 0.5;  // of an even part, that traffic moving here in silence finds
-constexpr double kFailWeight = 0.1;  // of an answer in a backend's share of failures; a failure's is twice
-constexpr double kEjectAt = 0.48;    // share of failures at which a backend is set aside: three in a row
+constexpr double kLeastPart = 0.5;    // of an even part, that traffic moving here in silence finds
+constexpr double kFailWeight = 0.1;   // of an answer in a backend's share of failures; a failure's is twice
+constexpr double kEjectAt = 0.48;     // share of failures at which a backend is set aside: three in a row
 constexpr double kEjectMinS = 0.5, kEjectMaxS = 4.0;  // s set aside
 constexpr double kDeadS = 1.5;  // s without an answer, after which a failed connection means a dead process
 constexpr double kMostEjected = 0.25;  // of the ready backends; beyond that the fault is likely elsewhere
@@ -38,29 +38,30 @@
 constexpr double kColdFirst = 0.3;  // of a warm one's cost: what a cold one may be sent, it is sent
 constexpr double kWarmS = 2;        // s over which that is taken
 constexpr double kColdSaveS = 0.3;  // s of a cold backend's budget that may be saved up
-constexpr double kSteer = 0.02;      // of the share let in, at least, for an answer off by the queue target,
-constexpr double kSteerS = 0.8;      // s in which answers off by that change it by its like, if they are rare
-constexpr double kSteerBack = 0.05;  // a second, that comes back of itself
+constexpr double kSteer = 0.02;     // of the share let in, at least, for an answer off by the queue target,
+constexpr double kSteerS = 0.8;     // s in which answers off by that change it by its like, if they are rare
+constexpr double kSteerBack = 0.05;   // a second, that comes back of itself
 constexpr double kLeastLetIn = 0.05;  // share let in at least, so that answers go on telling
-constexpr double kCheckShare = 0.5;  // of the aim after which a silent backend may be given up,
-constexpr double kCheckTimes = 6;    // and so many times what its answers take: chance alone is rarer
+constexpr double kCheckShare = 0.5;   // of the aim after which a silent backend may be given up,
+constexpr double kCheckTimes = 6;     // and so many times what its answers take: chance alone is rarer
 constexpr double kRetryShare = 0.1, kRetryStore = 20;  // further attempts for each first one; most saved
 constexpr double kLearn = 0.02;      // weight of one answer in a class's mean time and units
 constexpr double kWorkPrior = 0.25;  // of the aim: the time a request takes, until answers tell
 
-// Of the counter's time-out, after which an answer is a sign of crowding. On sockets one comes later than that and
-// is of use still; on the simulator's wire none does, and failures alone are the sign.
+// Of the counter's time-out, after which an answer is a sign of crowding. On sockets one comes later than
+// that and is of use still; on the simulator's wire none does, and failures alone are the sign.
 constexpr double kSlowCall = 1.5;
 // The price of crowding grows by this share of itself on such a sign and shrinks on none: steady, at whatever
 // level, where one call in nine is slow, just short of the most that the counter bears.
 constexpr double kCrowdGrow = 0.4, kCrowdShrink = 0.05;
-constexpr double kCrowdLeast = 0.01;  // from which it grows and which is not counted: a call's own price or so
+constexpr double kCrowdLeast =
+    0.01;  // from which it grows and which is not counted: a call's own price or so
 constexpr double kDearCall = 5, kMostUntold = 0.8;  // share of such tries for each price of a call; at most
-constexpr double kCallsPerAsk = 1.5;    // one to ask and add, at times one to put that right
+constexpr double kCallsPerAsk = 1.5;                // one to ask and add, at times one to put that right
 constexpr double kAskPatience = 4;      // of the counter's time-out, that a try must have left to be held
 constexpr double kJustTold = 0.9;       // of attempts told, still out: too few have ended to guess
 constexpr double kOutKeepS = 1;         // s for which a customer's attempts out stay like what was told
-constexpr double kInsideAtFirst = 0.7;                   // share of tries inside, until questions tell
+constexpr double kInsideAtFirst = 0.7;  // share of tries inside, until questions tell
 constexpr double kLearnInside = 0.05, kLearnOwn = 0.3;  // weight of one for the plan, and for the customer
 
 uint64_t Mix(uint64_t x) {
@@ -85,11 +86,11 @@
   double others = 0, own = 0;  // units a second that other gateways send on, and this one
   double ceiling = 0;          // this gateway's part of the ceiling's store
   int64_t window = 0;
-  double carried = 0;              // burst less S at this window's start, as known here
-  double used = 0;                 // units of this window: burst less S at its start, told and own sends
-  double total = 0, read_at = 0;   // last total told in this window, and when
-  double pending = 0;              // own units not yet told; a call that timed out counts as told
-  double passed = 0;               // before the first read
+  double carried = 0;                   // burst less S at this window's start, as known here
+  double used = 0;                      // units of this window: burst less S at its start, told and own sends
+  double total = 0, read_at = 0;        // last total told in this window, and when
+  double pending = 0;                   // own units not yet told; a call that timed out counts as told
+  double passed = 0;                    // before the first read
   bool known = false, calling = false;  // a first read has come; a call is out
   int64_t asked_tick = -1;
   double asked = 0;                                  // V_i: units asked for in asked_tick
@@ -98,13 +99,13 @@
   double told = 0;                                   // own attempts out as told in this epoch
   double out_others = 0, out_at = -1, out_mean = 0;  // others' as last told, when, and their mean
   bool out_calling = false;
-  double asked_all = 0;  // units
+  double asked_all = 0;          // units
   double inside = 1;             // share of its tries held for the counter that were inside
   std::vector<Waiting> waiting;  // held for the counter's answer, first come first
 };
 
 struct Node {
-  Backend info;
+  Endpoint info;
   int out = 0;
   double speed = 1;  // time an answer takes over the fleet's mean for such requests
   double pace = 0;   // mean of answer time over aim
@@ -148,48 +149,51 @@
 
 }  // namespace
 
-class Balancer::Impl {
+class AdmissionPolicy::Impl {
  public:
   Impl(const Settings& s, uint64_t seed, double now, Actions* out) : s_(s), rng_(seed), start_(now) {
-    for (const ClassSettings& c : s_.classes) work_.push_back(c.aim_s * kWorkPrior);
+    for (const ClassSettings& c : s_.classes) work_.push_back(c.latency_objective_s * kWorkPrior);
     class_units_.assign(s_.classes.size(), 0);
     longest_left_.assign(s_.classes.size(), 0);
     inside_.assign(s_.plans.size(), kInsideAtFirst);
-    if (!s_.push_discovery) Emit(out, ActionKind::kSubscribe);
+    if (!s_.discovery_is_pushed) out->push_back(PollDiscovery{});
   }
 
   const PlanSettings& PlanOf(const Customer& c) const { return s_.plans[c.plan]; }
-  static double WindowS(const PlanSettings& p) { return p.burst / p.rate; }
-  static bool Soft(const PlanSettings& p) { return p.excess_worth > p.over_cost; }
+  static double WindowS(const PlanSettings& p) { return p.burst_units / p.rate_units_per_s; }
+  static bool Soft(const PlanSettings& p) { return p.excess_value_share > p.over_quota_penalty; }
   static int64_t WindowNow(const PlanSettings& p, double now) {
     return static_cast<int64_t>(std::floor(now / WindowS(p)));
   }
-  static double Cap(const PlanSettings& p) { return p.ceiling_burst + kSlackShare * p.ceiling_slack; }
+  static double Cap(const PlanSettings& p) {
+    return p.ceiling_burst_units + kSlackShare * p.ceiling_slack_units;
+  }
 
   Customer& Find(const Request& r, double now) {
-    auto [it, fresh] = customers_.try_emplace(r.customer);
+    auto [it, fresh] = customers_.try_emplace(r.tenant);
     Customer& c = it->second;
     if (fresh) {
       const PlanSettings& p = s_.plans[r.plan];
       c.plan = r.plan;
       c.inside = inside_[r.plan];
-      c.entries = std::clamp(r.entries, 1.0, static_cast<double>(std::max(1, s_.gateways)));
+      c.entries = std::clamp(r.ingress_gateways, 1.0, static_cast<double>(std::max(1, s_.gateway_count)));
       c.at = c.born = now;
-      c.tokens = p.burst;
-      c.others = p.rate * (c.entries - 1) / c.entries;
+      c.tokens = p.burst_units;
+      c.others = p.rate_units_per_s * (c.entries - 1) / c.entries;
       // The ceiling's part is held alone: nothing tells a started gateway what was spent before, so its store
       // fills from nought since the start. Guards against restarts and a counter that forgets.
-      c.ceiling = std::min(Cap(p) / c.entries, p.ceiling_rate / c.entries * (now - start_));
-      if (p.rate > 0) c.window = WindowNow(p, now);
+      c.ceiling = std::min(Cap(p) / c.entries, p.ceiling_rate_units_per_s / c.entries * (now - start_));
+      if (p.rate_units_per_s > 0) c.window = WindowNow(p, now);
     }
     c.seen = now;
-    c.asked_all += r.units;
+    c.asked_all += r.cost_units;
     return c;
   }
 
   double IdleS(const PlanSettings& p) const {
-    double idle = std::max(kIdleS, p.rate > 0 ? kIdleWindows * WindowS(p) : 0);
-    if (p.ceiling_rate > 0) idle = std::max(idle, 2 * (p.ceiling_burst + p.ceiling_slack) / p.ceiling_rate);
+    double idle = std::max(kIdleS, p.rate_units_per_s > 0 ? kIdleWindows * WindowS(p) : 0);
+    if (p.ceiling_rate_units_per_s > 0)
+      idle = std::max(idle, 2 * (p.ceiling_burst_units + p.ceiling_slack_units) / p.ceiling_rate_units_per_s);
     return idle;
   }
 
@@ -207,20 +211,21 @@
     double dt = now - c->at;
     if (dt <= 0) return;
     c->at = now;
-    c->ceiling = std::min(Cap(p) / c->entries, c->ceiling + p.ceiling_rate / c->entries * dt);
-    if (p.rate <= 0) return;
+    c->ceiling = std::min(Cap(p) / c->entries, c->ceiling + p.ceiling_rate_units_per_s / c->entries * dt);
+    if (p.rate_units_per_s <= 0) return;
     // What others send is assumed to go on as last told, until the counter tells; this also holds the quota
     // to this gateway's part of it while the counter is silent, frozen or new.
-    c->tokens = std::min(p.burst, c->tokens + (p.rate - Others(*c)) * dt);
+    c->tokens = std::min(p.burst_units, c->tokens + (p.rate_units_per_s - Others(*c)) * dt);
     int64_t window = WindowNow(p, now);
     if (window != c->window) {
       double width = WindowS(p);
       bool lost = window > c->window + 1 && c->entries > 1 && !Quiet();  // others' use since is not known
-      double over = c->used - p.rate * width * static_cast<double>(window - c->window);
-      c->used = c->carried = lost ? 0 : std::clamp(over, 0.0, p.burst);
+      double over = c->used - p.rate_units_per_s * width * static_cast<double>(window - c->window);
+      c->used = c->carried = lost ? 0 : std::clamp(over, 0.0, p.burst_units);
       if (lost) c->known = false;
       c->window = window;
-      c->pending = std::min(c->pending, p.burst);  // a long silence is not paid back for longer than a burst
+      c->pending =
+          std::min(c->pending, p.burst_units);  // a long silence is not paid back for longer than a burst
       c->total = 0;
     }
   }
@@ -231,7 +236,7 @@
     if (c->asked_tick != tick) {
       if (c->asked_tick >= 0 && tick - c->asked_tick < kTicks) {
         const Tick& t = ticks_[c->asked_tick % kTicks];
-        double mu = std::max(0.0, c->tokens), room = std::max(0.0, PlanOf(*c).burst - c->tokens);
+        double mu = std::max(0.0, c->tokens), room = std::max(0.0, PlanOf(*c).burst_units - c->tokens);
         if (!t.pressed && t.asked > 0 && t.served > mu) {
           c->loan = std::min(room, c->loan + c->asked / t.asked * (t.served - mu));
         }
@@ -251,12 +256,12 @@
 
   // The share of tries let in without a question that are not told, the others standing for them: a customer
   // seen by each of many gateways once would otherwise go untold, or take a call each time.
-  double Dear() const { return std::min(kMostUntold, kDearCall * (Crowd() + s_.count_price)); }
+  double Dear() const { return std::min(kMostUntold, kDearCall * (Crowd() + s_.counter_call_price)); }
   double Crowd() const { return crowd_ - kCrowdLeast; }
 
   void MaybeCount(uint64_t id, Customer* c, double now, Actions* out) {
     const PlanSettings& p = PlanOf(*c);
-    if (!s_.may_count || p.rate <= 0 || c->calling || now < counter_after_) return;
+    if (!s_.counter_enabled || p.rate_units_per_s <= 0 || c->calling || now < counter_after_) return;
     double age = now - c->read_at, left = std::max(0.0, c->tokens);
     double batch = std::max(1.0, kBatchShare * left / c->entries);
     bool due = (!c->known && Dear() < 0.5) || std::fabs(c->pending) >= batch || !c->waiting.empty();
@@ -271,16 +276,13 @@
     uint64_t name = Mix(call.customer * 0x100000001b3ULL + Mix(window));
     if (!calls_.try_emplace(name, call).second) return false;
     double share = Quiet() ? 1 : Crowd() * Crowd();
-    counter_after_ = call.sent + share * std::max(kGapMaxS, s_.gateways / kSilentCalls);
-    Action& a = Emit(out, ActionKind::kCount);
-    a.tag = name;
-    a.amount = call.amount;
-    a.seconds = std::min(60.0, expiry);
+    counter_after_ = call.sent + share * std::max(kGapMaxS, s_.gateway_count / kSilentCalls);
+    out->push_back(CallCounter{name, call.amount, std::min(60.0, expiry)});
     return true;
   }
 
-  void OnCount(double now, const CountAnswer& answer, Actions* out) {
-    auto it = calls_.find(answer.name);
+  void OnCounterReply(double now, const CounterReply& answer, Actions* out) {
+    auto it = calls_.find(answer.key);
     if (it == calls_.end()) return;
     Call call = it->second;
     calls_.erase(it);
@@ -291,8 +293,8 @@
     (call.open ? c->out_calling : c->calling) = false;
     // Calls grow dearer and rarer by what fails, whether the counter is silent, refuses, is slow or crowded,
     // and come back answer by answer, without a flood. Harms by older totals where chance alone loses calls.
-    bool ok = answer.result == Result::kOk, was = Quiet();
-    bool easy = ok && now - call.sent < kSlowCall * s_.count_timeout_s;
+    bool ok = answer.result == CallResult::kOk, was = Quiet();
+    bool easy = ok && now - call.sent < kSlowCall * s_.counter_timeout_s;
     failed_calls_ = ok ? 0 : failed_calls_ + 1;
     crowd_ = std::clamp(crowd_ * (easy ? 1 - kCrowdShrink : 1 + kCrowdGrow), kCrowdLeast, 1.0);
     if (was && !Quiet()) Log(out, "counter answers again");
@@ -301,9 +303,10 @@
       TakeOpen(c, call, answer, now);
     } else if (ok) {
       if (call.window == c->window) TakeTotal(call.customer, c, call.amount, answer.total, now, out);
-      double debt = std::clamp(answer.total - PlanOf(*c).burst, 0.0, PlanOf(*c).burst);  // rate x window
+      double debt =
+          std::clamp(answer.total - PlanOf(*c).burst_units, 0.0, PlanOf(*c).burst_units);  // rate x window
       if (call.window + 1 == c->window && call.amount == 0) Charge(c, debt, 1);
-    } else if (answer.result != Result::kTimeout) {
+    } else if (answer.result != CallResult::kTimeout) {
       c->pending += call.amount;
     }
     if (!c->calling && !c->out_calling) Settle(call.customer, c, ok, now, out);
@@ -341,7 +344,7 @@
   double Others(const Customer& c) const {
     if (!Quiet() || !c.known || c.own + c.others <= 0) return c.others;
     double part = std::max(c.own / (c.own + c.others), kLeastPart / c.entries);
-    return std::max(c.others, PlanOf(c).rate * (1 - part));
+    return std::max(c.others, PlanOf(c).rate_units_per_s * (1 - part));
   }
 
   void TakeTotal(uint64_t id, Customer* c, double amount, double total, double now, Actions* out) {
@@ -350,7 +353,7 @@
     double others = total - c->total - amount, span = now - c->read_at;
     c->read_at = now;
     c->total = total;
-    if (others < -s_.max_units) {
+    if (others < -s_.max_request_units) {
       // Totals hardly fall in a window, so the counter has forgotten: what was assumed stands, the bucket and
       // the window's own memory go on. Guards against lost, emptied and restarted counters alike.
       if (now - forgot_log_ > 5) Log(out, "counter has lost counts: keeping what was known");
@@ -361,7 +364,7 @@
     // know it, or reads the window before. Where both fail a full store is taken.
     bool first = others < 1e-3 && total > 0 && total - amount < 1e-3;
     if (first && c->known) c->pending += c->carried;
-    if (first && !c->known && (1 - c->inside) * Loss(p) > kCallsPerAsk * s_.count_price + Crowd()) {
+    if (first && !c->known && (1 - c->inside) * Loss(p) > kCallsPerAsk * s_.counter_call_price + Crowd()) {
       c->calling = Ring({id, c->window - 1, 0, false, now}, 2 * width, out);
     }
     others = std::max(0.0, others) - std::min(c->carried, std::max(0.0, others));
@@ -369,68 +372,68 @@
     c->used += others;
     double weight = c->known ? 1 - std::exp(-span / (0.5 * width)) : 1;
     span = c->known ? std::max(span, 1e-3) : std::max(in_window, 0.5 * width);
-    c->others += weight * (std::min(2 * p.rate, others / span) - c->others);
-    c->others = std::min(c->others, p.rate);
+    c->others += weight * (std::min(2 * p.rate_units_per_s, others / span) - c->others);
+    c->others = std::min(c->others, p.rate_units_per_s);
     c->own += weight * (std::max(0.0, amount) / span - c->own);
-    c->tokens = std::min(p.burst, p.burst + p.rate * in_window - c->used);
+    c->tokens = std::min(p.burst_units, p.burst_units + p.rate_units_per_s * in_window - c->used);
     c->known = true;
   }
 
   enum class Verdict { kInside, kLent, kOver };
 
-  static double Loss(const PlanSettings& p) { return p.over_cost - p.excess_worth; }
+  static double Loss(const PlanSettings& p) { return p.over_quota_penalty - p.excess_value_share; }
 
   // Whether a try is let in, and the chance that it is inside, fading from what was told to what came of
   // questions before. While the counter is silent, this gateway's part, as told or even, is held to.
   Verdict Judge(Customer* c, const Request& r, double now, double* chance) {
     const PlanSettings& p = PlanOf(*c);
     Refill(c, now);
-    Lend(c, r.units, now);
+    Lend(c, r.cost_units, now);
     *chance = 0;
-    if (p.ceiling_rate > 0 && c->ceiling < r.units) return Verdict::kOver;
+    if (p.ceiling_rate_units_per_s > 0 && c->ceiling < r.cost_units) return Verdict::kOver;
     bool soft = Soft(p), alone = c->entries < 2;
     double loss = Loss(p), told = 1;
-    if (p.parallel > 0) {
-      told = OpenRoom(*c, p, work_[r.cls], now);
-      if (p.rate <= 0) {
+    if (p.max_concurrent_attempts > 0) {
+      told = OpenRoom(*c, p, work_[r.request_class], now);
+      if (p.rate_units_per_s <= 0) {
         double keep = alone ? 1 : c->out_at < 0 ? 0 : Quiet() ? 1 : std::exp(-(now - c->out_at) / kOutKeepS);
-        *chance = c->open >= p.parallel ? 0 : keep * told + (1 - keep) * c->inside;
+        *chance = c->open >= p.max_concurrent_attempts ? 0 : keep * told + (1 - keep) * c->inside;
         if (*chance * (1 + loss) >= loss) return Verdict::kInside;
         return soft && !Pressed(now) ? Verdict::kLent : Verdict::kOver;
       }
     }
-    bool room = c->tokens >= r.units && told * (1 + loss) >= loss;
-    double first_part = (p.burst + p.rate * (now - c->born)) / c->entries;
-    if (!c->known && c->passed > 0 && c->passed + r.units > first_part) room = false;
-    if (c->used + r.units > p.burst + p.rate * WindowS(p)) room = false;
-    double repeats = (c->asked_all - r.units) * c->entries / (now - c->born + kIdleS);
-    double prior = c->inside / (1 + (Quiet() ? 0 : std::max(0.0, repeats / p.rate - 0.5)));
+    bool room = c->tokens >= r.cost_units && told * (1 + loss) >= loss;
+    double first_part = (p.burst_units + p.rate_units_per_s * (now - c->born)) / c->entries;
+    if (!c->known && c->passed > 0 && c->passed + r.cost_units > first_part) room = false;
+    if (c->used + r.cost_units > p.burst_units + p.rate_units_per_s * WindowS(p)) room = false;
+    double repeats = (c->asked_all - r.cost_units) * c->entries / (now - c->born + kIdleS);
+    double prior = c->inside / (1 + (Quiet() ? 0 : std::max(0.0, repeats / p.rate_units_per_s - 0.5)));
     if (!c->known && !alone && prior * (1 + loss) < loss) room = false;
     double age = now - c->read_at, keep = !c->known ? 0 : alone || Quiet() ? 1 : std::exp(-age / WindowS(p));
-    double spread = std::sqrt(0.01 + 0.5 * s_.max_units * (alone ? 0 : c->others) * age);
-    double z = (c->tokens - r.units) / spread;
+    double spread = std::sqrt(0.01 + 0.5 * s_.max_request_units * (alone ? 0 : c->others) * age);
+    double z = (c->tokens - r.cost_units) / spread;
     *chance = (keep / (1 + std::exp(-1.7 * z)) + (1 - keep) * prior) * std::min(1.0, told);
     if (room) return Verdict::kInside;
-    if (soft && c->tokens + c->loan >= r.units && !Pressed(now)) return Verdict::kLent;
+    if (soft && c->tokens + c->loan >= r.cost_units && !Pressed(now)) return Verdict::kLent;
     return Verdict::kOver;
   }
 
   // A try is held for the counter's answer, for milliseconds, when that could change the verdict and is worth
-  // more than the call's price and crowding: near the allowance, and where the customer is seen seldom. What is
-  // to be gained is measured from the verdict that holds without asking: `sent`, or refused.
+  // more than the call's price and crowding: near the allowance, and where the customer is seen seldom. What
+  // is to be gained is measured from the verdict that holds without asking: `sent`, or refused.
   bool WorthAsking(const Customer& c, const Request& r, bool sent, double chance, double now) {
     const PlanSettings& p = PlanOf(c);
-    if (!s_.may_count || Soft(p) || c.entries < 2) return false;
-    if (r.left_s < kAskPatience * s_.count_timeout_s) return false;
+    if (!s_.counter_enabled || Soft(p) || c.entries < 2) return false;
+    if (r.time_left_s < kAskPatience * s_.counter_timeout_s) return false;
     double gain = (sent ? (1 - chance) * Loss(p) : chance) * (0.5 + Random());
-    if (gain < kCallsPerAsk * s_.count_price + Crowd()) return false;
+    if (gain < kCallsPerAsk * s_.counter_call_price + Crowd()) return false;
     return now >= counter_after_ || c.calling || c.out_calling;
   }
 
   // Chance that fewer attempts of other gateways are out than the cap leaves free: at random about what was
   // told last, fading to the mean told; exactly what was told where that has just come.
   double OpenRoom(const Customer& c, const PlanSettings& p, double span, double now) const {
-    int free = p.parallel - c.open;
+    int free = p.max_concurrent_attempts - c.open;
     double stays = c.out_at < 0 ? 0 : std::exp(-(now - c.out_at) / span);
     if (free <= 0 || stays > kJustTold) return free > c.out_others ? 1 : 0;
     double mean = stays * c.out_others + (1 - stays) * c.out_mean, term = std::exp(-mean), sum = 0;
@@ -441,7 +444,9 @@
   // Attempts out are counted as changes to one number; each gateway tells its own when it changes.
   void TellOpen(uint64_t id, Customer* c, double now, Actions* out) {
     const PlanSettings& p = PlanOf(*c);
-    if (!s_.may_count || p.parallel <= 0 || c->entries < 2 || c->out_calling || now < counter_after_) return;
+    if (!s_.counter_enabled || p.max_concurrent_attempts <= 0 || c->entries < 2 || c->out_calling ||
+        now < counter_after_)
+      return;
     int64_t epoch = static_cast<int64_t>(std::floor(now / kEpochS));
     if (epoch != c->epoch) {
       c->epoch = epoch;
@@ -452,10 +457,10 @@
     c->out_calling = Ring({id, epoch, amount, true, now}, 2 * kEpochS, out);
   }
 
-  void TakeOpen(Customer* c, const Call& call, const CountAnswer& answer, double now) {
+  void TakeOpen(Customer* c, const Call& call, const CounterReply& answer, double now) {
     if (call.window != c->epoch) return;
-    if (answer.result == Result::kOk || answer.result == Result::kTimeout) c->told += call.amount;
-    if (answer.result != Result::kOk) return;
+    if (answer.result == CallResult::kOk || answer.result == CallResult::kTimeout) c->told += call.amount;
+    if (answer.result != CallResult::kOk) return;
     double weight = c->out_at < 0 ? 1 : 1 - std::exp(-(now - c->out_at) / 1.0);
     c->out_others = std::max(0.0, answer.total - c->told);
     c->out_mean += weight * (c->out_others - c->out_mean);
@@ -467,14 +472,12 @@
     return ticks_[tick % kTicks].pressed || ticks_[(tick + kTicks - 1) % kTicks].pressed;
   }
 
-  void MarkPressed(double now) {
-    ticks_[RollTick(now) % kTicks].pressed = true;
-  }
+  void MarkPressed(double now) { ticks_[RollTick(now) % kTicks].pressed = true; }
 
   void Charge(Customer* c, double units, double sign) {
     const PlanSettings& p = PlanOf(*c);
-    if (p.rate <= 0) return void(c->open += sign > 0 ? 1 : -1);
-    c->tokens = std::min(p.burst, c->tokens - sign * units);
+    if (p.rate_units_per_s <= 0) return void(c->open += sign > 0 ? 1 : -1);
+    c->tokens = std::min(p.burst_units, c->tokens - sign * units);
     c->used += sign * units;
     c->pending += sign * units;
     if (!c->known) c->passed += sign * units;
@@ -483,13 +486,14 @@
   void Admit(Live* l, Customer* c, Verdict verdict, Node* node, bool asked, double now, Actions* out) {
     const PlanSettings& p = PlanOf(*c);
     l->inside = verdict == Verdict::kInside;
-    if (p.ceiling_rate > 0) c->ceiling -= l->r.units;
-    if (p.rate > 0 && l->inside) Charge(c, l->r.units, 1);
-    if (p.rate > 0 && l->inside && !asked && c->entries > 1) {
+    if (p.ceiling_rate_units_per_s > 0) c->ceiling -= l->r.cost_units;
+    if (p.rate_units_per_s > 0 && l->inside) Charge(c, l->r.cost_units, 1);
+    if (p.rate_units_per_s > 0 && l->inside && !asked && c->entries > 1) {
       double told = 1 - Dear() * (1 - 1 / c->entries);
-      c->pending += l->r.units * ((Random() < told ? 1 / told : 0) - 1);
+      c->pending += l->r.cost_units * ((Random() < told ? 1 / told : 0) - 1);
     }
-    if (p.rate > 0 && !l->inside) c->loan -= std::max(0.0, l->r.units - std::max(0.0, c->tokens));
+    if (p.rate_units_per_s > 0 && !l->inside)
+      c->loan -= std::max(0.0, l->r.cost_units - std::max(0.0, c->tokens));
     retry_store_ = std::min(kRetryStore, retry_store_ + kRetryShare);
     Send(l, node, now, out);
     Arm(*l, now, out);
@@ -497,9 +501,10 @@
 
   void OnRequest(double now, const Request& r, Actions* out) {
     Expire(now);
-    bool sound = r.cls >= 0 && r.cls < static_cast<int>(s_.classes.size()) && r.plan >= 0 &&
-                 r.plan < static_cast<int>(s_.plans.size()) && std::isfinite(r.units) && r.units > 0 &&
-                 std::isfinite(r.left_s) && r.left_s > 2 * s_.resolution_s && std::isfinite(r.entries);
+    bool sound = r.request_class >= 0 && r.request_class < static_cast<int>(s_.classes.size()) &&
+                 r.plan >= 0 && r.plan < static_cast<int>(s_.plans.size()) && std::isfinite(r.cost_units) &&
+                 r.cost_units > 0 && std::isfinite(r.time_left_s) &&
+                 r.time_left_s > 2 * s_.timer_resolution_s && std::isfinite(r.ingress_gateways);
     if (lives_.count(r.id) != 0) return;
     if (!sound) return Refuse(r.id, 0, out);
     Customer& c = Find(r, now);
@@ -508,16 +513,16 @@
     Verdict verdict = Judge(&c, r, now, &chance);
     Live live;
     live.r = r;
-    live.deadline = now + r.left_s;
-    longest_left_[r.cls] = std::max(longest_left_[r.cls], r.left_s);
+    live.deadline = now + r.time_left_s;
+    longest_left_[r.request_class] = std::max(longest_left_[r.request_class], r.time_left_s);
     if (WorthAsking(c, r, verdict != Verdict::kOver, chance, now)) {
       if (Crowded(r, false, now) && Pick(live, now, true) == nullptr) return Refuse(r.id, 0, out);
-      if (chance >= 0.5) Charge(&c, r.units, 1);
+      if (chance >= 0.5) Charge(&c, r.cost_units, 1);
       Arm(lives_[r.id] = std::move(live), now, out);
-      c.waiting.push_back({r.id, r.units, chance >= 0.5});
-      MaybeCount(r.customer, &c, now, out);
-      if (PlanOf(c).rate <= 0) TellOpen(r.customer, &c, now, out);
-      if (!c.calling && !c.out_calling) Settle(r.customer, &c, false, now, out);
+      c.waiting.push_back({r.id, r.cost_units, chance >= 0.5});
+      MaybeCount(r.tenant, &c, now, out);
+      if (PlanOf(c).rate_units_per_s <= 0) TellOpen(r.tenant, &c, now, out);
+      if (!c.calling && !c.out_calling) Settle(r.tenant, &c, false, now, out);
       return;
     }
     if (verdict == Verdict::kOver) return Refuse(r.id, s_.max_retry_after_s, out);
@@ -529,12 +534,12 @@
     }
     Live& kept = lives_[r.id] = std::move(live);
     Admit(&kept, &c, verdict, node, false, now, out);
-    MaybeCount(r.customer, &c, now, out);
+    MaybeCount(r.tenant, &c, now, out);
   }
 
   double WorkOf(const Request& r) const {
-    double mean_units = class_units_[r.cls];
-    return work_[r.cls] * (mean_units > 0 ? r.units / mean_units : 1);
+    double mean_units = class_units_[r.request_class];
+    return work_[r.request_class] * (mean_units > 0 ? r.cost_units / mean_units : 1);
   }
 
   // A cold backend's budget of work is its fraction of what this gateway sends a warm one now, so that all
@@ -542,11 +547,11 @@
   // as if it had one core, over all gateways. Guards against toppling, and against a herd onto the first
   // backend back.
   bool ColdRoom(Node* n, double now) {
-    double warmed = std::max(0.0, now - n->cold_since) / std::max(1e-3, s_.warm_after_s);
+    double warmed = std::max(0.0, now - n->cold_since) / std::max(1e-3, s_.slow_start_duration_s);
     if (warmed >= 1) n->cold_since = 0;
     if (warmed >= 1) return true;
-    double fraction = s_.cold_from + (1 - s_.cold_from) * warmed;
-    double one_core = s_.tip_multiple * kColdShare / std::max(1, s_.gateways);
+    double fraction = s_.slow_start_initial_fraction + (1 - s_.slow_start_initial_fraction) * warmed;
+    double one_core = s_.overload_multiple * kColdShare / std::max(1, s_.gateway_count);
     double faded = warm_work_ * std::exp(-(now - warm_at_) / kWarmS);
     double rate = fraction * std::max(one_core, kWarmShare * faded / kWarmS);
     n->budget = std::min(kColdSaveS * rate, n->budget + rate * (now - n->budget_at));
@@ -568,10 +573,11 @@
   }
 
   bool InGroup(const Live& l, const Node& n) const {
-    if (!l.may_have_run || s_.classes[l.r.cls].effect == Effect::kFree) return true;
-    Scope scope = s_.classes[l.r.cls].scope;
-    return scope == Scope::kAll || (scope == Scope::kZone && n.info.zone == l.ran_zone) ||
-           (scope == Scope::kCell && n.info.cell == l.ran_cell);
+    if (!l.may_have_run || s_.classes[l.r.request_class].idempotency == Idempotency::kIdempotent) return true;
+    DeduplicationScope scope = s_.classes[l.r.request_class].deduplication_scope;
+    return scope == DeduplicationScope::kAll ||
+           (scope == DeduplicationScope::kZone && n.info.zone == l.ran_zone) ||
+           (scope == DeduplicationScope::kCell && n.info.cell == l.ran_cell);
   }
 
   double Random() {
@@ -586,17 +592,19 @@
     Recover(now);
     double out = 0, limit = 0, most = 0;
     for (const Node& n : nodes_) {
-      if (n.info.state != BackendState::kReady) continue;
+      if (n.info.state != EndpointState::kReady) continue;
       out += std::min<double>(n.out, std::max(1.0, n.limit));
       limit += n.limit;
     }
-    for (size_t i = 0; i < s_.classes.size(); ++i) most = std::max(most, s_.classes[i].worth / work_[i]);
-    const ClassSettings& c = s_.classes[r.cls];
-    double share = most > 0 ? c.worth / work_[r.cls] / most : 1;
-    bool late = r.left_s < longest_left_[r.cls] - s_.resolution_s && c.deadline_s - r.left_s > c.aim_s;
-    if (late) share *= c.late_share;
+    for (size_t i = 0; i < s_.classes.size(); ++i)
+      most = std::max(most, s_.classes[i].priority_weight / work_[i]);
+    const ClassSettings& c = s_.classes[r.request_class];
+    double share = most > 0 ? c.priority_weight / work_[r.request_class] / most : 1;
+    bool late = r.time_left_s < longest_left_[r.request_class] - s_.timer_resolution_s &&
+                c.deadline_s - r.time_left_s > c.latency_objective_s;
+    if (late) share *= c.late_value_share;
     // With nothing out and no outcome for an aim, nothing would ever tell that the fleet has room again.
-    if (out_ == 0 && now - heard_at_ > c.aim_s && !lent) return false;
+    if (out_ == 0 && now - heard_at_ > c.latency_objective_s && !lent) return false;
     // Gateways that seldom have an attempt out at a backend go by the answers of all backends together.
     if (Random() > std::pow(let_in_, (lent ? 2 : 1) / (kLeastRoom + (1 - kLeastRoom) * share))) return true;
     double room = kLeastRoom + (1 - kLeastRoom) * share;
@@ -609,14 +617,14 @@
     int ready = 0, aside = 0;
     warm_ = 0;
     for (const Node& n : nodes_) {
-      ready += n.info.state == BackendState::kReady;
-      warm_ += n.info.state == BackendState::kReady && n.cold_since <= 0;
-      aside += n.info.state == BackendState::kReady && n.aside_until > now;
+      ready += n.info.state == EndpointState::kReady;
+      warm_ += n.info.state == EndpointState::kReady && n.cold_since <= 0;
+      aside += n.info.state == EndpointState::kReady && n.aside_until > now;
     }
     Node* best = nullptr;
     double best_cost = 0;
     for (Node& n : nodes_) {
-      if (n.info.state != BackendState::kReady || !InGroup(l, n)) continue;
+      if (n.info.state != EndpointState::kReady || !InGroup(l, n)) continue;
       if (n.aside_until > now && aside <= kMostEjected * ready) continue;
       if (n.trial && n.out > 0) continue;
       if (n.out >= n.limit) continue;
@@ -650,26 +658,30 @@
     }
   }
 
-  void OnList(double now, ListKind kind, const std::vector<Backend>& entries, Actions* out) {
-    if (kind == ListKind::kFailed && !s_.push_discovery) Timer(out, std::min(1.0, s_.ask_within_s), kAskTag);
-    if (kind == ListKind::kFailed) return;
-    for (Node& n : nodes_) n.info.state = kind == ListKind::kDelta ? n.info.state : BackendState::kGone;
-    for (const Backend& b : entries) {
+  void OnEndpointUpdate(double now, EndpointUpdateKind kind, const std::vector<Endpoint>& entries,
+                        Actions* out) {
+    if (kind == EndpointUpdateKind::kFailed && !s_.discovery_is_pushed)
+      Timer(out, std::min(1.0, s_.discovery_poll_interval_s), kAskTag);
+    if (kind == EndpointUpdateKind::kFailed) return;
+    for (Node& n : nodes_)
+      n.info.state = kind == EndpointUpdateKind::kDelta ? n.info.state : EndpointState::kRemoved;
+    for (const Endpoint& b : entries) {
       Node* n = FindNode(b.id);
       if (n == nullptr) {
-        if (b.state == BackendState::kGone) continue;
+        if (b.state == EndpointState::kRemoved) continue;
         nodes_.emplace_back();
         n = &nodes_.back();
         n->heard = now;
       }
       bool restarted = b.started_s > 0 && b.started_s != n->info.started_s;
       n->info = b;
-      if (restarted && now - b.started_s < s_.warm_after_s) {
+      if (restarted && now - b.started_s < s_.slow_start_duration_s) {
         Chill(n, std::max(n->cold_since, b.started_s), now);
         n->aside_until = n->fails = 0;
       }
     }
-    std::erase_if(nodes_, [](const Node& n) { return n.info.state == BackendState::kGone && n.out == 0; });
+    std::erase_if(nodes_,
+                  [](const Node& n) { return n.info.state == EndpointState::kRemoved && n.out == 0; });
   }
 
   void Send(Live* l, Node* node, double now, Actions* out) {
@@ -678,31 +690,31 @@
     ++node->out;
     ++out_;
     if (node->cold_since > 0) node->budget -= WorkOf(l->r);
-    auto it = customers_.find(l->r.customer);
+    auto it = customers_.find(l->r.tenant);
     if (it != customers_.end()) {
       ++it->second.open;
       TellOpen(it->first, &it->second, now, out);
     }
-    Action& a = Emit(out, ActionKind::kSend, l->r.id);
-    a.backend = node->info.id;
-    a.seconds = std::max(s_.resolution_s, l->deadline - now);
+    out->push_back(
+        ForwardAttempt{l->r.id, node->info.id, std::max(s_.timer_resolution_s, l->deadline - now)});
   }
 
   void Arm(const Live& l, double now, Actions* out) {
     const Node* n = l.tries.empty() ? nullptr : FindNode(l.tries.back().node);
     double usual = WorkOf(l.r) * (n != nullptr ? std::max(1.0, n->speed) : 1);
-    double check = std::max(kCheckShare * s_.classes[l.r.cls].aim_s, kCheckTimes * usual);
-    Timer(out, std::max(0.0, std::min(l.deadline - 2 * s_.resolution_s - now, check)), l.r.id);
+    double check =
+        std::max(kCheckShare * s_.classes[l.r.request_class].latency_objective_s, kCheckTimes * usual);
+    Timer(out, std::max(0.0, std::min(l.deadline - 2 * s_.timer_resolution_s - now, check)), l.r.id);
   }
 
   // Whether a further attempt is allowed by the rules of effect.
   bool MayResend(const Live& l, double now) const {
-    const ClassSettings& c = s_.classes[l.r.cls];
-    if (static_cast<int>(l.tries.size()) >= s_.try_limit) return false;
-    if (!l.may_have_run || c.effect == Effect::kFree) return true;
-    if (c.effect == Effect::kSingleShot) return false;
+    const ClassSettings& c = s_.classes[l.r.request_class];
+    if (static_cast<int>(l.tries.size()) >= s_.max_attempts) return false;
+    if (!l.may_have_run || c.idempotency == Idempotency::kIdempotent) return true;
+    if (c.idempotency == Idempotency::kNonIdempotent) return false;
     // What is sent now may leave only when its connection has come up.
-    return now + s_.connect_timeout_s < l.ran_at + c.window_s - 2 * s_.resolution_s;
+    return now + s_.connect_timeout_s < l.ran_at + c.deduplication_window_s - 2 * s_.timer_resolution_s;
   }
 
   bool TryAgain(Live* l, double now, Actions* out) {
@@ -715,25 +727,30 @@
   }
 
   void Finish(Live* l, Actions* out) {
-    const ClassSettings& c = s_.classes[l->r.cls];
-    bool untouched = c.effect == Effect::kFree || (!l->may_have_run && l->out == 0);
-    bool may_refuse = untouched || (c.effect == Effect::kGuarded && c.scope == Scope::kAll);
-    Emit(out, may_refuse ? ActionKind::kRefuse : ActionKind::kFail, l->r.id);
+    const ClassSettings& c = s_.classes[l->r.request_class];
+    bool untouched = c.idempotency == Idempotency::kIdempotent || (!l->may_have_run && l->out == 0);
+    bool may_refuse = untouched || (c.idempotency == Idempotency::kIdempotencyKey &&
+                                    c.deduplication_scope == DeduplicationScope::kAll);
+    if (may_refuse) {
+      out->push_back(RejectRequest{l->r.id, 0});
+    } else {
+      out->push_back(FailRequest{l->r.id});
+    }
     End(l, out);
   }
 
   void End(Live* l, Actions* out) {
     l->done = true;
     for (size_t i = 0; i < l->tries.size(); ++i) {
-      if (l->tries[i].out && s_.cancel && !l->began) {
-        Emit(out, ActionKind::kCancel, l->r.id).attempt = static_cast<int>(i);
+      if (l->tries[i].out && s_.cancellation_enabled && !l->began) {
+        out->push_back(CancelAttempt{l->r.id, static_cast<int>(i)});
       }
     }
     if (l->out == 0) lives_.erase(l->r.id);
   }
 
-  void OnOutcome(double now, const Outcome& o, Actions* out) {
-    auto it = lives_.find(o.request);
+  void OnAttemptOutcome(double now, const AttemptOutcome& o, Actions* out) {
+    auto it = lives_.find(o.request_id);
     if (it == lives_.end()) return;
     Live& l = it->second;
     if (o.attempt < 0 || o.attempt >= static_cast<int>(l.tries.size()) || !l.tries[o.attempt].out) return;
@@ -742,7 +759,7 @@
     --l.out;
     --out_;
     heard_at_ = now;
-    auto cust = customers_.find(l.r.customer);
+    auto cust = customers_.find(l.r.tenant);
     if (cust != customers_.end()) {
       Refill(&cust->second, now);
       cust->second.open = std::max(0, cust->second.open - 1);
@@ -753,22 +770,23 @@
       --n->out;
       Learn(n, l, t, o, now, out);
     }
-    bool ran = o.result == Result::kError || o.result == Result::kTimeout || o.result == Result::kReset ||
-               o.result == Result::kCancelled;
+    bool ran = o.result == CallResult::kError || o.result == CallResult::kTimeout ||
+               o.result == CallResult::kReset || o.result == CallResult::kCancelled;
     if (ran && !l.may_have_run) {
       l.may_have_run = true;
       l.ran_at = t.sent;
       l.ran_zone = n != nullptr ? n->info.zone : -1;
       l.ran_cell = n != nullptr ? n->info.cell : -1;
     }
-    if (o.result == Result::kOk && !l.done) {
+    if (o.result == CallResult::kOk && !l.done) {
       Pressed(now);
-      ticks_[tick_ % kTicks].served += l.r.units;
-      if (o.true_units > 0 && l.inside && cust != customers_.end() && PlanOf(cust->second).rate > 0) {
-        Charge(&cust->second, o.true_units - l.r.units, 1);
+      ticks_[tick_ % kTicks].served += l.r.cost_units;
+      if (o.actual_cost_units > 0 && l.inside && cust != customers_.end() &&
+          PlanOf(cust->second).rate_units_per_s > 0) {
+        Charge(&cust->second, o.actual_cost_units - l.r.cost_units, 1);
       }
     }
-    if (o.finished || (o.result == Result::kOk && !l.done)) {
+    if (o.request_finished || (o.result == CallResult::kOk && !l.done)) {
       End(&l, out);
     } else if (l.done) {
       if (l.out == 0) lives_.erase(it);
@@ -777,13 +795,14 @@
     }
   }
 
-  void Learn(Node* n, const Live& l, const Try& t, const Outcome& o, double now, Actions* out) {
-    const ClassSettings& c = s_.classes[l.r.cls];
+  void Learn(Node* n, const Live& l, const Try& t, const AttemptOutcome& o, double now, Actions* out) {
+    const ClassSettings& c = s_.classes[l.r.request_class];
     double took = now - t.sent;
     bool silent = n->heard <= t.sent;
-    if (o.result == Result::kOk || o.result == Result::kFull || o.result == Result::kError) n->heard = now;
+    if (o.result == CallResult::kOk || o.result == CallResult::kRejected || o.result == CallResult::kError)
+      n->heard = now;
     switch (o.result) {
-      case Result::kOk: {
+      case CallResult::kOk: {
         if (n->cold_since <= 0) {  // what is sent and turned away tells nothing of what a warm one can do
           warm_work_ = warm_work_ * std::exp(-(now - warm_at_) / kWarmS) + WorkOf(l.r) / std::max(1, warm_);
           warm_at_ = now;
@@ -792,19 +811,20 @@
         if (n->trial) Log(out, "backend back: " + std::to_string(n->info.id));
         n->trial = false;
         if (n->fails < 0.1) n->aside_wait = 0;
-        double units = o.true_units > 0 ? o.true_units : l.r.units, &mean = class_units_[l.r.cls];
+        double units = o.actual_cost_units > 0 ? o.actual_cost_units : l.r.cost_units,
+               &mean = class_units_[l.r.request_class];
         mean += (mean > 0 ? kLearn : 1) * (units - mean);
-        double size = units / mean, usual = work_[l.r.cls];
+        double size = units / mean, usual = work_[l.r.request_class];
         n->speed += 0.05 * (std::min(took / (usual * size), 5.0) - n->speed);
-        work_[l.r.cls] += kLearn * (std::min(took, c.aim_s) - usual);
+        work_[l.r.request_class] += kLearn * (std::min(took, c.latency_objective_s) - usual);
         // Holding the mean answer well inside the aim keeps queues short whatever made them: overload, a slow
         // or overdriven backend, a herd. May refuse too much where work alone takes a third of the aim.
         double weight = std::max(kPaceWeight, 1 - std::exp(-(now - n->paced_at) / kPaceS));
         n->paced_at = now;
         double even = took - usual * (size - 1);  // the request's own size is no sign of a queue
-        n->pace += weight * (std::clamp(even / c.aim_s, 0.0, 2.0) - n->pace);
-        Steer(even / c.aim_s, now);
-        if (took > c.aim_s) MarkPressed(now);
+        n->pace += weight * (std::clamp(even / c.latency_objective_s, 0.0, 2.0) - n->pace);
+        Steer(even / c.latency_objective_s, now);
+        if (took > c.latency_objective_s) MarkPressed(now);
         if (n->pace > kQueueAt) {
           Cut(n, now);
         } else if (n->pace < kEasyAt && n->out + 1 >= n->limit / 2) {
@@ -812,21 +832,21 @@
         }
         break;
       }
-      case Result::kError: Fault(n, false, now, out); break;
-      case Result::kTimeout:
+      case CallResult::kError: Fault(n, false, now, out); break;
+      case CallResult::kTimeout:
         if (silent) return Fault(n, false, now, out);
         [[fallthrough]];
-      case Result::kFull:
+      case CallResult::kRejected:
         Steer(1, now);
         MarkPressed(now);
         Cut(n, now);
         break;
-      case Result::kConnectFailed:
-      case Result::kReset: Fault(n, true, now, out); break;
-      case Result::kCancelled:
+      case CallResult::kConnectFailed:
+      case CallResult::kReset: Fault(n, true, now, out); break;
+      case CallResult::kCancelled:
         if (!l.done && n->out > 0 && silent) Fault(n, false, now, out);
         break;
-      case Result::kNeverSent: break;
+      case CallResult::kNeverSent: break;
     }
   }
 
@@ -850,22 +870,22 @@
     n->limit = std::max(1.0, std::min<double>(n->limit, n->out + 1) * kCut);
   }
 
-  void OnAbandoned(uint32_t request, Actions* out) {
+  void OnClientGone(uint32_t request, Actions* out) {
     auto it = lives_.find(request);
     if (it != lives_.end() && !it->second.done) End(&it->second, out);
   }
 
-  void OnStreamBegun(uint32_t request) {
+  void OnResponseStarted(uint32_t request) {
     auto it = lives_.find(request);
     if (it != lives_.end()) it->second.began = true;
   }
 
   void OnTimer(double now, uint64_t tag, Actions* out) {
-    if (tag == kAskTag) return void(Emit(out, ActionKind::kSubscribe));
+    if (tag == kAskTag) return void(out->push_back(PollDiscovery{}));
     auto it = lives_.find(static_cast<uint32_t>(tag));
     if (it == lives_.end() || it->second.done || it->second.began) return;
     Live& l = it->second;
-    if (now >= l.deadline - 3 * s_.resolution_s) {  // before the client gives up
+    if (now >= l.deadline - 3 * s_.timer_resolution_s) {  // before the client gives up
       Steer(2, now);
       return Finish(&l, out);
     }
@@ -874,13 +894,13 @@
     const Try& t = l.tries.back();
     Node* n = FindNode(t.node);
     bool silent = t.out && n != nullptr && n->heard <= t.sent;
-    if (silent && l.out == 1 && retry_store_ >= 1 && s_.classes[l.r.cls].effect == Effect::kFree &&
-        MayResend(l, now)) {
-      if (s_.parallel_tries) {
+    if (silent && l.out == 1 && retry_store_ >= 1 &&
+        s_.classes[l.r.request_class].idempotency == Idempotency::kIdempotent && MayResend(l, now)) {
+      if (s_.hedging_enabled) {
         if (n->out > 1) Fault(n, false, now, out);
         TryAgain(&l, now, out);
-      } else if (s_.cancel) {
-        Emit(out, ActionKind::kCancel, l.r.id).attempt = static_cast<int>(l.tries.size()) - 1;
+      } else if (s_.cancellation_enabled) {
+        out->push_back(CancelAttempt{l.r.id, static_cast<int>(l.tries.size()) - 1});
       }
     }
     Arm(l, now, out);
@@ -889,21 +909,11 @@
  private:
   static constexpr uint64_t kAskTag = 1ULL << 40;
 
-  Action& Emit(Actions* out, ActionKind kind, uint32_t request = 0) {
-    out->emplace_back();
-    out->back().kind = kind;
-    out->back().request = request;
-    return out->back();
-  }
   void Refuse(uint32_t id, double stay_away, Actions* out) {
-    Emit(out, ActionKind::kRefuse, id).seconds = s_.retry_after ? stay_away : 0;
-  }
-  void Timer(Actions* out, double wait, uint64_t tag) {
-    Action& a = Emit(out, ActionKind::kTimer);
-    a.seconds = wait;
-    a.tag = tag;
+    out->push_back(RejectRequest{id, s_.retry_after_enabled ? stay_away : 0});
   }
-  void Log(Actions* out, std::string text) { Emit(out, ActionKind::kLog).text = std::move(text); }
+  void Timer(Actions* out, double wait, uint64_t tag) { out->push_back(StartTimer{wait, tag}); }
+  void Log(Actions* out, std::string text) { out->push_back(LogEvent{std::move(text)}); }
 
   const Settings s_;
   uint64_t rng_;
@@ -925,20 +935,30 @@
   double retry_store_ = kRetryStore;
   int out_ = 0;          // attempts
   double heard_at_ = 0;  // the last outcome of one
-  double let_in_ = 1, steered_at_ = 0, recovered_at_ = 0;  // share of requests let in, by the answers of all backends
+  double let_in_ = 1, steered_at_ = 0,
+         recovered_at_ = 0;  // share of requests let in, by the answers of all backends
 };
 
-Balancer::Balancer(const Settings& settings, uint64_t seed, double now, Actions* out)
+AdmissionPolicy::AdmissionPolicy(const Settings& settings, uint64_t seed, double now, Actions* out)
     : impl_(std::make_unique<Impl>(settings, seed, now, out)) {}
-Balancer::~Balancer() = default;
-void Balancer::OnList(double now, ListKind kind, const std::vector<Backend>& entries, Actions* out) {
-  impl_->OnList(now, kind, entries, out);
+AdmissionPolicy::~AdmissionPolicy() = default;
+void AdmissionPolicy::OnEndpointUpdate(double now, EndpointUpdateKind kind,
+                                       const std::vector<Endpoint>& entries, Actions* out) {
+  impl_->OnEndpointUpdate(now, kind, entries, out);
 }
-void Balancer::OnRequest(double t, const Request& r, Actions* out) { impl_->OnRequest(t, r, out); }
-void Balancer::OnStreamBegun(double, uint32_t request, Actions*) { impl_->OnStreamBegun(request); }
-void Balancer::OnOutcome(double t, const Outcome& o, Actions* out) { impl_->OnOutcome(t, o, out); }
-void Balancer::OnAbandoned(double, uint32_t request, Actions* out) { impl_->OnAbandoned(request, out); }
-void Balancer::OnTimer(double t, uint64_t tag, Actions* out) { impl_->OnTimer(t, tag, out); }
-void Balancer::OnCount(double t, const CountAnswer& a, Actions* out) { impl_->OnCount(t, a, out); }
-
-}  // namespace micadock
+void AdmissionPolicy::OnRequest(double t, const Request& r, Actions* out) { impl_->OnRequest(t, r, out); }
+void AdmissionPolicy::OnResponseStarted(double, uint32_t request, Actions*) {
+  impl_->OnResponseStarted(request);
+}
+void AdmissionPolicy::OnAttemptOutcome(double t, const AttemptOutcome& o, Actions* out) {
+  impl_->OnAttemptOutcome(t, o, out);
+}
+void AdmissionPolicy::OnClientGone(double, uint32_t request, Actions* out) {
+  impl_->OnClientGone(request, out);
+}
+void AdmissionPolicy::OnTimer(double t, uint64_t tag, Actions* out) { impl_->OnTimer(t, tag, out); }
+void AdmissionPolicy::OnCounterReply(double t, const CounterReply& a, Actions* out) {
+  impl_->OnCounterReply(t, a, out);
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/tests/config/settings_parser_test.cpp
@@ -0,0 +1,80 @@
+#include "config/settings_parser.h"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+#include "config/config_error.h"
+
+namespace gateway::config {
+namespace {
+
+std::string GoodSettings() {
+  return "me=0\npeers-total=3\nzone=2\nresolution-s=0.002\ndiscovery=pushed\nspecifics.units-top=4\n"
+         "specifics.may-count=true\nspecifics.counter-timeout-s=0.03\nspecifics.counter-price=0.02\n"
+         "prices.cross-zone=0.01\nlimits.cancel=true\nlimits.parallel-tries=false\nlimits.retry-after=false\n"
+         "limits.max-retry-after-s=2.0\nlimits.try-limit=5\nlimits.connect-timeout-s=0.25\n"
+         "invariants.cold-from=0.21\n"
+         "invariants.warm-after-s=16.0\ninvariants.tip-multiple=2.0\ninvariants.tip-after-s=1.0\n"
+         "invariants.ask-within-s=10.0\nrequest-classes.count=1\nrequest-classes.0.aim-s=0.6\n"
+         "request-classes.0.hard-limit-s=1.5\nrequest-classes.0.window-s=5\nrequest-classes.0.importance=3\n"
+         "request-classes.0.late-share=0.2\nrequest-classes.0.effect=guarded\n"
+         "request-classes.0.dedup-scope=cell\ntiers-of-service.count=1\ntiers-of-service.0.units-per-s=2.4\n"
+         "tiers-of-service.0.store-size=13\ntiers-of-service.0.never-over-rate=0\n"
+         "tiers-of-service.0.ceiling-burst=0\ntiers-of-service.0.cap-slack=0\n"
+         "tiers-of-service.0.excess-worth=0.5\ntiers-of-service.0.over-cost=1.2\n"
+         "tiers-of-service.0.value-factor=0.72\ntiers-of-service.0.parallel=2\n";
+}
+
+std::string SettingsWrong(const std::string& text) {
+  try {
+    ParseSettings(text);
+  } catch (const ConfigError& error) {
+    return error.what();
+  }
+  return "";
+}
+
+TEST(SettingsParser, ReadsAndIgnoresUnknownKeys) {
+  policy::Settings settings = ParseSettings(GoodSettings() + "new-thing.7=abc,def\n");
+  EXPECT_EQ(settings.gateway_count, 3);
+  EXPECT_EQ(settings.classes.at(0).idempotency, policy::Idempotency::kIdempotencyKey);
+  EXPECT_EQ(settings.classes.at(0).deduplication_scope, policy::DeduplicationScope::kCell);
+  EXPECT_EQ(settings.plans.at(0).rate_units_per_s, 2.4);
+  EXPECT_EQ(settings.plans.at(0).max_concurrent_attempts, 2);
+}
+
+TEST(SettingsParser, NamesWhatIsMissingOrUnreadable) {
+  std::string good = GoodSettings();
+  size_t at = 0;
+  while (at < good.size()) {
+    size_t end = good.find('\n', at) + 1;
+    std::string line = good.substr(at, end - at), key = line.substr(0, line.find('='));
+    std::string without = good.substr(0, at) + good.substr(end);
+    EXPECT_EQ(SettingsWrong(without), "setting is missing: " + key);
+    std::string spoilt = good.substr(0, at) + key + "=?\n" + good.substr(end);
+    EXPECT_EQ(SettingsWrong(spoilt), "setting is unreadable: " + key + "=?");
+    at = end;
+  }
+}
+
+// A figure that no gateway can go by is unreadable: below nought, past what a clock holds, or none where
+// there has to be one.
+TEST(SettingsParser, NamesFiguresThatCannotBe) {
+  std::string good = GoodSettings();
+  for (std::string key :
+       {"resolution-s", "limits.connect-timeout-s", "invariants.warm-after-s", "peers-total",
+        "request-classes.0.hard-limit-s", "tiers-of-service.0.units-per-s"}) {
+    for (std::string value : {"-1", "1e300", "inf", "nan"}) {
+      EXPECT_EQ(SettingsWrong(good + key + "=" + value), "setting is unreadable: " + key + "=" + value);
+    }
+  }
+  for (std::string key : {"request-classes.count", "tiers-of-service.count", "request-classes.0.aim-s",
+                          "request-classes.0.hard-limit-s", "tiers-of-service.0.store-size"}) {
+    EXPECT_EQ(SettingsWrong(good + key + "=0"), "setting is unreadable: " + key + "=0");
+  }
+  EXPECT_EQ(SettingsWrong(good + "tiers-of-service.0.units-per-s=0\ntiers-of-service.0.store-size=0"), "");
+}
+
+}  // namespace
+}  // namespace gateway::config
