--- a/tests/balance_test.cpp
+++ b/tests/policy/admission_policy_test.cpp
@@ -1,4 +1,4 @@
-#include "balance.h"
+#include "policy/admission_policy.h"
 
 #include <gtest/gtest.h>
 
@@ -7,119 +7,124 @@
 #include <limits>
 #include <map>
 
-namespace micadock {
+namespace gateway::policy {
 namespace {
 
 // A site of one plan and three classes; every test names what it changes.
 Settings Site() {
   Settings s;
-  s.gateways = 3;
-  s.resolution_s = 0.002;
-  s.push_discovery = true;
-  s.max_units = 4;
-  s.may_count = true;
-  s.count_timeout_s = 0.3;  // too long for a try to be held for: tests of that shorten it
-  s.cancel = true;
-  s.retry_after = true;
+  s.gateway_count = 3;
+  s.timer_resolution_s = 0.002;
+  s.discovery_is_pushed = true;
+  s.max_request_units = 4;
+  s.counter_enabled = true;
+  s.counter_timeout_s = 0.3;  // too long for a try to be held for: tests of that shorten it
+  s.cancellation_enabled = true;
+  s.retry_after_enabled = true;
   s.max_retry_after_s = 2;
-  s.try_limit = 5;
-  s.cold_from = 0.2;
-  s.warm_after_s = 16;
-  s.tip_multiple = 2;
-  s.tip_after_s = 1;
-  s.ask_within_s = 10;
-  for (Effect effect : {Effect::kFree, Effect::kGuarded, Effect::kSingleShot}) {
+  s.max_attempts = 5;
+  s.slow_start_initial_fraction = 0.2;
+  s.slow_start_duration_s = 16;
+  s.overload_multiple = 2;
+  s.discovery_poll_interval_s = 10;
+  for (Idempotency effect :
+       {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNonIdempotent}) {
     ClassSettings c;
-    c.aim_s = 0.6;
+    c.latency_objective_s = 0.6;
     c.deadline_s = 1.5;
-    c.window_s = 1.2;
-    c.worth = 1;
-    c.effect = effect;
-    c.scope = effect == Effect::kGuarded ? Scope::kCell : Scope::kAll;
+    c.deduplication_window_s = 1.2;
+    c.priority_weight = 1;
+    c.idempotency = effect;
+    c.deduplication_scope =
+        effect == Idempotency::kIdempotencyKey ? DeduplicationScope::kCell : DeduplicationScope::kAll;
     s.classes.push_back(c);
   }
   PlanSettings p;
-  p.rate = 2;
-  p.burst = 10;
-  p.over_cost = 1;
-  p.price = 1;
+  p.rate_units_per_s = 2;
+  p.burst_units = 10;
+  p.over_quota_penalty = 1;
   s.plans.push_back(p);
   return s;
 }
 
-class Bench {
+class PolicyFixture {
  public:
-  explicit Bench(const Settings& s, int backends = 4, double start = 100) : now(start), b(s, 7, start, &out) {
-    std::vector<Backend> list;
+  explicit PolicyFixture(const Settings& s, int backends = 4, double start = 100)
+      : now(start), b(s, 7, start, &out) {
+    std::vector<Endpoint> list;
     for (int i = 0; i < backends; ++i) {
-      Backend e;
+      Endpoint e;
       e.id = 50 + static_cast<uint32_t>(i);
       e.cell = i / 2;
       e.weight = 1;
       list.push_back(e);
     }
-    b.OnList(now, ListKind::kCached, list, &out);
+    b.OnEndpointUpdate(now, EndpointUpdateKind::kCached, list, &out);
     out.clear();
   }
 
   uint32_t Ask(double units = 1, int cls = 0, double left = 1.0, uint64_t customer = 9, double entries = 1) {
     Request r;
     r.id = ++last;
-    r.cls = cls;
-    r.customer = customer;
-    r.left_s = left;
-    r.units = units;
-    r.entries = entries;
+    r.request_class = cls;
+    r.tenant = customer;
+    r.time_left_s = left;
+    r.cost_units = units;
+    r.ingress_gateways = entries;
     out.clear();
     b.OnRequest(now, r, &out);
     return r.id;
   }
 
-  const Action* Got(ActionKind kind) const {
-    auto it = std::find_if(out.begin(), out.end(), [&](const Action& a) { return a.kind == kind; });
-    return it == out.end() ? nullptr : &*it;
+  // The first action of this kind, or null.
+  template <typename Kind>
+  const Kind* Got() const {
+    for (const Action& action : out) {
+      if (const Kind* typed = std::get_if<Kind>(&action)) return typed;
+    }
+    return nullptr;
   }
-  bool Sent() const { return Got(ActionKind::kSend) != nullptr; }
+  bool Sent() const { return Got<ForwardAttempt>() != nullptr; }
 
-  void End(uint32_t id, uint32_t backend, Result result, int attempt = 0, double true_units = 0) {
-    Outcome o;
-    o.request = id;
+  void End(uint32_t id, uint32_t backend, CallResult result, int attempt = 0, double true_units = 0) {
+    AttemptOutcome o;
+    o.request_id = id;
     o.attempt = attempt;
     o.result = result;
-    o.finished = result == Result::kOk;
-    o.backend = backend;
-    o.true_units = true_units;
+    o.request_finished = result == CallResult::kOk;
+    o.backend_id = backend;
+    o.actual_cost_units = true_units;
     out.clear();
-    b.OnOutcome(now, o, &out);
+    b.OnAttemptOutcome(now, o, &out);
   }
 
   // Asks and answers at once; true if it was let in.
   bool Serve(double units = 1, uint64_t customer = 9, double entries = 1, double true_units = 0) {
     uint32_t id = Ask(units, 0, 1.0, customer, entries);
-    const Action* send = Got(ActionKind::kSend);
-    if (const Action* count = Got(ActionKind::kCount)) calls.push_back(*count);
+    const ForwardAttempt* send = Got<ForwardAttempt>();
+    if (const CallCounter* count = Got<CallCounter>()) calls.push_back(*count);
     if (send == nullptr) return false;
-    uint32_t backend = send->backend;
-    End(id, backend, Result::kOk, 0, true_units);
+    uint32_t backend = send->backend_id;
+    End(id, backend, CallResult::kOk, 0, true_units);
     return true;
   }
 
-  void Tell(uint64_t name, double total, Result result = Result::kOk) {
+  void Tell(uint64_t name, double total, CallResult result = CallResult::kOk) {
     out.clear();
-    b.OnCount(now, CountAnswer{name, total, result}, &out);
+    b.OnCounterReply(now, CounterReply{name, total, result}, &out);
   }
 
   double now;
   uint32_t last = 0;
   Actions out;
-  Actions calls;
-  Balancer b;
+  std::vector<CallCounter> calls;
+  AdmissionPolicy b;
 };
 
 TEST(Bucket, HoldsTheBurstAndRefillsAtTheRate) {
   Settings s = Site();
-  s.may_count = false;
-  Bench t(s);
+  s.counter_enabled = false;
+  PolicyFixture t(s);
   t.now = 100;  // a window's start
   int got = 0;
   for (int i = 0; i < 30; ++i) got += t.Serve();
@@ -132,20 +137,20 @@
 
 TEST(Bucket, RefusalNamesTheLongestStayAway) {
   Settings s = Site();
-  Bench t(s);
+  PolicyFixture t(s);
   while (t.Serve()) {
   }
-  ASSERT_NE(t.Got(ActionKind::kRefuse), nullptr);
-  EXPECT_EQ(t.Got(ActionKind::kRefuse)->seconds, 2);
+  ASSERT_NE(t.Got<RejectRequest>(), nullptr);
+  EXPECT_EQ(t.Got<RejectRequest>()->retry_after_s, 2);
 }
 
 TEST(Share, SoftPlansAloneBorrow) {
   for (bool soft : {false, true}) {
     Settings s = Site();
-    s.may_count = false;
-    s.plans[0].over_cost = soft ? 0 : 1;
-    s.plans[0].excess_worth = soft ? 0.3 : 0;
-    Bench t(s);
+    s.counter_enabled = false;
+    s.plans[0].over_quota_penalty = soft ? 0 : 1;
+    s.plans[0].excess_value_share = soft ? 0.3 : 0;
+    PolicyFixture t(s);
     int got = 0;
     for (int i = 0; i < 100; ++i) {
       t.now = 100 + i * 0.02;
@@ -162,10 +167,10 @@
 
 TEST(Share, NothingIsLentAfterFull) {
   Settings s = Site();
-  s.may_count = false;
-  s.plans[0].over_cost = 0;
-  s.plans[0].excess_worth = 0.3;
-  Bench t(s);
+  s.counter_enabled = false;
+  s.plans[0].over_quota_penalty = 0;
+  s.plans[0].excess_value_share = 0.3;
+  PolicyFixture t(s);
   int got = 0;
   for (int i = 0; i < 100; ++i) {
     t.now = 100 + i * 0.02;
@@ -173,16 +178,16 @@
     uint32_t id = t.Ask(1, 0, 1.0, 1000 + static_cast<uint64_t>(i));
     ASSERT_TRUE(t.Sent());
     bool full = i % 5 == 0;
-    t.End(id, t.Got(ActionKind::kSend)->backend, full ? Result::kFull : Result::kOk);
+    t.End(id, t.Got<ForwardAttempt>()->backend_id, full ? CallResult::kRejected : CallResult::kOk);
     ASSERT_EQ(t.Sent(), full);
-    if (full) t.End(id, t.Got(ActionKind::kSend)->backend, Result::kOk, 1);
+    if (full) t.End(id, t.Got<ForwardAttempt>()->backend_id, CallResult::kOk, 1);
     got += t.Serve();
   }
   EXPECT_LE(got, 14);
 }
 
 TEST(Counter, FirstPassIsAPartAndReadsAtOnce) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   int got = 0;
   for (int i = 0; i < 10; ++i) got += t.Serve(1, 9, 3);
   EXPECT_GE(got, 3);
@@ -191,16 +196,16 @@
 }
 
 TEST(Counter, OthersSendsAreTakenFromTheBucket) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   ASSERT_TRUE(t.Serve(1, 9, 3));
-  t.Tell(t.calls[0].tag, 9 + t.calls[0].amount);
+  t.Tell(t.calls[0].key, 9 + t.calls[0].amount);
   EXPECT_FALSE(t.Serve(2, 9, 3));
 }
 
 TEST(Counter, StoreIsCarriedOverTheWindow) {
-  Bench t(Site(), 4, 104.98);
+  PolicyFixture t(Site(), 4, 104.98);
   ASSERT_TRUE(t.Serve(1, 9, 3));
-  uint64_t name = t.calls[0].tag;
+  uint64_t name = t.calls[0].key;
   t.now = 104.99;
   t.Tell(name, 19 + t.calls[0].amount);
   t.now = 105.01;  // the next window: the store is empty, not a burst again
@@ -211,24 +216,24 @@
   t.now = 130;
   t.Serve(1, 9, 3);
   ASSERT_GT(t.calls.size(), 1u);
-  EXPECT_NE(t.calls.back().tag, name);  // and a name of its own
+  EXPECT_NE(t.calls.back().key, name);  // and a name of its own
 }
 
 TEST(Counter, AWindowAfterAnOverspentOneHoldsNoStore) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   ASSERT_TRUE(t.Serve(1, 9, 3));
-  t.Tell(t.calls[0].tag, 2);  // another gateway has sent one
+  t.Tell(t.calls[0].key, 2);  // another gateway has sent one
   t.calls.clear();
   t.now = 102;
   ASSERT_TRUE(t.Serve(1, 9, 3));
   ASSERT_EQ(t.calls.size(), 1u);
-  t.Tell(t.calls[0].tag, 32);  // twenty were to be had in this window
+  t.Tell(t.calls[0].key, 32);  // twenty were to be had in this window
   t.calls.clear();
   int got = 0;
   for (int i = 0; i < 8; ++i) {
     t.now = 105.1 + 0.6 * i;
     got += t.Serve(1, 9, 3);
-    for (const Action& a : t.calls) t.Tell(a.tag, 12);  // and ten in the next, which others have passed
+    for (const CallCounter& a : t.calls) t.Tell(a.key, 12);  // and ten in the next, which others have passed
     t.calls.clear();
   }
   EXPECT_LE(got, 1);
@@ -236,11 +241,11 @@
 
 TEST(Counter, BatchesGrowWithTheTokensLeft) {
   Settings s = Site();
-  s.plans[0].rate = 200;
-  s.plans[0].burst = 1000;
-  Bench t(s);
+  s.plans[0].rate_units_per_s = 200;
+  s.plans[0].burst_units = 1000;
+  PolicyFixture t(s);
   ASSERT_TRUE(t.Serve(1, 9, 2));
-  t.Tell(t.calls[0].tag, 2);  // another gateway has sent one
+  t.Tell(t.calls[0].key, 2);  // another gateway has sent one
   t.calls.clear();
   for (int i = 0; i < 100; ++i) ASSERT_TRUE(t.Serve(1, 9, 2));
   EXPECT_TRUE(t.calls.empty());
@@ -250,37 +255,37 @@
 }
 
 TEST(Counter, ATimeOutIsNotAddedAgainBlindly) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   ASSERT_TRUE(t.Serve(4));
   ASSERT_EQ(t.calls.back().amount, 4);
-  t.Tell(t.calls.back().tag, 0, Result::kTimeout);
+  t.Tell(t.calls.back().key, 0, CallResult::kTimeout);
   t.now += 0.01;
   ASSERT_TRUE(t.Serve(1));
   EXPECT_EQ(t.calls.back().amount, 1);
-  t.Tell(t.calls.back().tag, 1);  // it was lost, but might have been added
+  t.Tell(t.calls.back().key, 1);  // it was lost, but might have been added
   t.now += 0.01;
   ASSERT_TRUE(t.Serve(1));
   EXPECT_EQ(t.calls.back().amount, 1);
 }
 
 TEST(Counter, ARefusedCallAddedNothing) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   ASSERT_TRUE(t.Serve(4));
-  t.Tell(t.calls.back().tag, 0, Result::kFull);
+  t.Tell(t.calls.back().key, 0, CallResult::kRejected);
   t.now += 0.01;
   ASSERT_TRUE(t.Serve(1));
   EXPECT_EQ(t.calls.back().amount, 5);
 }
 
 TEST(Counter, ForgettingGivesNothingBack) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   ASSERT_TRUE(t.Serve(1, 9, 3));
-  t.Tell(t.calls.back().tag, 8 + t.calls.back().amount);
+  t.Tell(t.calls.back().key, 8 + t.calls.back().amount);
   size_t before = t.calls.size();
   t.now = 101.5;
   ASSERT_TRUE(t.Serve(1, 9, 3));
   ASSERT_GT(t.calls.size(), before);
-  t.Tell(t.calls.back().tag, t.calls.back().amount);  // others' eight are gone
+  t.Tell(t.calls.back().key, t.calls.back().amount);  // others' eight are gone
   int got = 0;
   for (int i = 0; i < 10; ++i) got += t.Serve(1, 9, 3);
   EXPECT_EQ(got, 0);
@@ -288,20 +293,20 @@
 
 TEST(Counter, SilenceLeavesThisGatewaysPartAndFewCalls) {
   Settings s = Site();
-  s.count_timeout_s = 0.03;
-  Bench t(s);
+  s.counter_timeout_s = 0.03;
+  PolicyFixture t(s);
   int got = 0, calls = 0;
   for (int i = 0; i < 1000; ++i) {
     t.now = 100 + i * 0.05;
     uint32_t id = t.Ask(1, 0, 1.0, 9, 2);
-    const Action* send = t.Got(ActionKind::kSend);
-    uint32_t at = send != nullptr ? send->backend : 0;
-    if (const Action* count = t.Got(ActionKind::kCount)) {
+    const ForwardAttempt* send = t.Got<ForwardAttempt>();
+    uint32_t at = send != nullptr ? send->backend_id : 0;
+    if (const CallCounter* count = t.Got<CallCounter>()) {
       ++calls;
-      t.Tell(count->tag, 0, Result::kTimeout);
-      if (const Action* late = t.Got(ActionKind::kSend)) at = late->backend;
+      t.Tell(count->key, 0, CallResult::kTimeout);
+      if (const ForwardAttempt* late = t.Got<ForwardAttempt>()) at = late->backend_id;
     }
-    if (at != 0) t.End(id, at, Result::kOk);
+    if (at != 0) t.End(id, at, CallResult::kOk);
     got += at != 0;
   }
   EXPECT_NEAR(got, 50 + 5, 7);  // half of two a second over 50 s, and a store
@@ -309,12 +314,12 @@
 }
 
 TEST(Counter, InSilenceARiseKeepsToTheToldPart) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   double total = 0;
   for (int i = 0; i < 40; ++i) {  // told: an equal part of little use
     t.now = 100 + i * 0.5;
     ASSERT_TRUE(t.Serve(0.25, 9, 2));
-    for (Action& a : t.calls) t.Tell(a.tag, total += 2 * a.amount);
+    for (CallCounter& a : t.calls) t.Tell(a.key, total += 2 * a.amount);
     t.calls.clear();
     if (std::fmod(t.now, 5) > 4.4) total = 0;
   }
@@ -323,7 +328,7 @@
     t.now += 0.05;
     got += t.Serve(0.5, 9, 2) ? 0.5 : 0;
     demand += 0.5;
-    for (Action& a : t.calls) t.Tell(a.tag, 0, Result::kFull);
+    for (CallCounter& a : t.calls) t.Tell(a.key, 0, CallResult::kRejected);
     t.calls.clear();
   }
   EXPECT_LT(got, 60 * 2 * 0.62 + 10);
@@ -332,25 +337,25 @@
 }
 
 TEST(Counter, SettledUnitsMoveTheBucketAndTotalsOnlyRise) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   ASSERT_TRUE(t.Serve(4, 9, 1, 1));
-  t.Tell(t.calls.back().tag, 4);
+  t.Tell(t.calls.back().key, 4);
   int got = 0;
   for (int i = 0; i < 20; ++i) {
     got += t.Serve();
-    for (const Action& a : t.calls) EXPECT_GE(a.amount, 0);
+    for (const CallCounter& a : t.calls) EXPECT_GE(a.amount, 0);
   }
   EXPECT_EQ(got, 9);  // ten, less the one unit it really was
 }
 
 TEST(Ceiling, IsSplitAndStartsEmpty) {
   Settings s = Site();
-  s.plans[0].rate = 1000;
-  s.plans[0].burst = 1000;
-  s.plans[0].ceiling_rate = 30;
-  s.plans[0].ceiling_burst = 60;
-  s.plans[0].ceiling_slack = 6;
-  Bench t(s);
+  s.plans[0].rate_units_per_s = 1000;
+  s.plans[0].burst_units = 1000;
+  s.plans[0].ceiling_rate_units_per_s = 30;
+  s.plans[0].ceiling_burst_units = 60;
+  s.plans[0].ceiling_slack_units = 6;
+  PolicyFixture t(s);
   EXPECT_FALSE(t.Serve(1, 9, 3));  // just started: what was spent before is not known
   t.now = 101.001;
   int got = 0;
@@ -360,7 +365,7 @@
   got = 0;
   for (int i = 0; i < 200; ++i) {
     got += t.Serve(1, 9, 3);
-    for (Action& a : t.calls) t.Tell(a.tag, 0);  // a counter that says nothing was used changes nothing
+    for (CallCounter& a : t.calls) t.Tell(a.key, 0);  // a counter that says nothing was used changes nothing
     t.calls.clear();
   }
   EXPECT_EQ(got, 21);  // a third of the store and of nearly all the slack
@@ -368,38 +373,38 @@
 
 TEST(OpenCap, CountsOwnAttemptsOut) {
   Settings s = Site();
-  s.plans[0].rate = s.plans[0].burst = 0;
-  s.plans[0].parallel = 2;
-  Bench t(s);
+  s.plans[0].rate_units_per_s = s.plans[0].burst_units = 0;
+  s.plans[0].max_concurrent_attempts = 2;
+  PolicyFixture t(s);
   uint32_t first = t.Ask();
   ASSERT_TRUE(t.Sent());
-  uint32_t at = t.Got(ActionKind::kSend)->backend;
+  uint32_t at = t.Got<ForwardAttempt>()->backend_id;
   t.Ask();
   ASSERT_TRUE(t.Sent());
   t.Ask();
   EXPECT_FALSE(t.Sent());
-  t.End(first, at, Result::kOk);
+  t.End(first, at, CallResult::kOk);
   t.Ask();
   EXPECT_TRUE(t.Sent());
 }
 
 TEST(OpenCap, OthersAreHeardThroughTheCounterAndFade) {
   Settings s = Site();
-  s.plans[0].rate = s.plans[0].burst = 0;
-  s.plans[0].parallel = 2;
-  Bench t(s);
+  s.plans[0].rate_units_per_s = s.plans[0].burst_units = 0;
+  s.plans[0].max_concurrent_attempts = 2;
+  PolicyFixture t(s);
   uint32_t id = t.Ask(1, 0, 1.0, 9, 2);
-  const Action* count = t.Got(ActionKind::kCount);
+  const CallCounter* count = t.Got<CallCounter>();
   ASSERT_NE(count, nullptr);
   EXPECT_EQ(count->amount, 1);
-  uint64_t name = count->tag;
-  uint32_t at = t.Got(ActionKind::kSend)->backend;
+  uint64_t name = count->key;
+  uint32_t at = t.Got<ForwardAttempt>()->backend_id;
   t.Tell(name, 2);  // own one, and one of another gateway
   t.Ask(1, 0, 1.0, 9, 2);
   EXPECT_FALSE(t.Sent());
-  t.End(id, at, Result::kOk);
-  ASSERT_NE(t.Got(ActionKind::kCount), nullptr);
-  EXPECT_EQ(t.Got(ActionKind::kCount)->amount, -1);
+  t.End(id, at, CallResult::kOk);
+  ASSERT_NE(t.Got<CallCounter>(), nullptr);
+  EXPECT_EQ(t.Got<CallCounter>()->amount, -1);
   t.Tell(name, 2);
   t.Ask(1, 0, 1.0, 9, 2);
   EXPECT_FALSE(t.Sent());
@@ -410,8 +415,8 @@
 
 TEST(Overload, TheLastRoomIsForWhatIsWorthMost) {
   Settings s = Site();
-  s.classes[1].worth = 10;
-  Bench t(s, 2);
+  s.classes[1].priority_weight = 10;
+  PolicyFixture t(s, 2);
   int sent[2] = {0, 0};
   for (int i = 0; i < 40; ++i) {
     t.Ask(1, i % 2, 1.0, static_cast<uint64_t>(100 + i));
@@ -422,7 +427,7 @@
 }
 
 TEST(Overload, SlowAnswersCutWhatIsOutAndQuickOnesRestoreIt) {
-  Bench t(Site(), 1);
+  PolicyFixture t(Site(), 1);
   auto most = [&](uint64_t from) {
     std::vector<uint32_t> ids;
     for (uint64_t k = 0; k < 50; ++k) {
@@ -435,41 +440,41 @@
   size_t first = ids.size();
   for (int round = 0; round < 6; ++round) {
     t.now += 0.55;
-    for (uint32_t id : ids) t.End(id, 50, Result::kOk);
+    for (uint32_t id : ids) t.End(id, 50, CallResult::kOk);
     ids = most(2000 + 100 * static_cast<uint64_t>(round));
   }
   EXPECT_LE(ids.size(), 1u);
   EXPECT_GT(first, 1u);
   for (int round = 0; round < 300; ++round) {
     t.now += 0.05;
-    for (uint32_t id : ids) t.End(id, 50, Result::kOk);
+    for (uint32_t id : ids) t.End(id, 50, CallResult::kOk);
     ids = most(10000 + 100 * static_cast<uint64_t>(round));
   }
   EXPECT_GT(ids.size(), first);
 }
 
 TEST(Effects, FreeIsSentAgainAfterAnError) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   uint32_t id = t.Ask();
-  uint32_t at = t.Got(ActionKind::kSend)->backend;
-  t.End(id, at, Result::kError);
+  uint32_t at = t.Got<ForwardAttempt>()->backend_id;
+  t.End(id, at, CallResult::kError);
   ASSERT_TRUE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kSend)->backend, at);
+  EXPECT_NE(t.Got<ForwardAttempt>()->backend_id, at);
 }
 
 TEST(Effects, GuardedStaysInItsCellAndWindowAndFails) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   uint32_t id = t.Ask(1, 1, 1.45);
-  uint32_t at = t.Got(ActionKind::kSend)->backend;
-  t.End(id, at, Result::kError);
+  uint32_t at = t.Got<ForwardAttempt>()->backend_id;
+  t.End(id, at, CallResult::kError);
   ASSERT_TRUE(t.Sent());
-  uint32_t next = t.Got(ActionKind::kSend)->backend;
+  uint32_t next = t.Got<ForwardAttempt>()->backend_id;
   EXPECT_EQ((next - 50) / 2, (at - 50) / 2);
   t.now += 1.25;  // past the window
-  t.End(id, next, Result::kError, 1);
+  t.End(id, next, CallResult::kError, 1);
   EXPECT_FALSE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kFail), nullptr);
-  EXPECT_EQ(t.Got(ActionKind::kRefuse), nullptr);
+  EXPECT_NE(t.Got<FailRequest>(), nullptr);
+  EXPECT_EQ(t.Got<RejectRequest>(), nullptr);
 }
 
 // A connection may take its time to come up, and the window must still be open when the request leaves on it.
@@ -477,62 +482,62 @@
   Settings s = Site();
   s.connect_timeout_s = 0.3;
   for (double after : {0.8, 1.0}) {
-    Bench t(s);
+    PolicyFixture t(s);
     uint32_t id = t.Ask(1, 1, 1.45);
-    uint32_t at = t.Got(ActionKind::kSend)->backend;
+    uint32_t at = t.Got<ForwardAttempt>()->backend_id;
     t.now += after;
-    t.End(id, at, Result::kError);
+    t.End(id, at, CallResult::kError);
     EXPECT_EQ(t.Sent(), after < 0.9) << "of a window of 1.2 s";
   }
 }
 
 TEST(Effects, SingleShotIsNeitherSentAgainNorRefusedOnceItMayHaveRun) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   uint32_t id = t.Ask(1, 2);
-  t.End(id, t.Got(ActionKind::kSend)->backend, Result::kFull);
+  t.End(id, t.Got<ForwardAttempt>()->backend_id, CallResult::kRejected);
   ASSERT_TRUE(t.Sent());  // proved not to have run
-  t.End(id, t.Got(ActionKind::kSend)->backend, Result::kReset, 1);
+  t.End(id, t.Got<ForwardAttempt>()->backend_id, CallResult::kReset, 1);
   EXPECT_FALSE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kFail), nullptr);
+  EXPECT_NE(t.Got<FailRequest>(), nullptr);
 }
 
 TEST(Effects, TryLimitHolds) {
   Settings s = Site();
-  s.try_limit = 2;
-  Bench t(s);
+  s.max_attempts = 2;
+  PolicyFixture t(s);
   uint32_t id = t.Ask();
-  t.End(id, t.Got(ActionKind::kSend)->backend, Result::kFull);
+  t.End(id, t.Got<ForwardAttempt>()->backend_id, CallResult::kRejected);
   ASSERT_TRUE(t.Sent());
-  t.End(id, t.Got(ActionKind::kSend)->backend, Result::kFull, 1);
+  t.End(id, t.Got<ForwardAttempt>()->backend_id, CallResult::kRejected, 1);
   EXPECT_FALSE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
+  EXPECT_NE(t.Got<RejectRequest>(), nullptr);
 }
 
 TEST(Backends, NothingGoesToADrainingOrGoneOne) {
-  Bench t(Site(), 2);
-  Backend e;
+  PolicyFixture t(Site(), 2);
+  Endpoint e;
   e.id = 50;
-  e.state = BackendState::kDraining;
-  t.b.OnList(t.now, ListKind::kDelta, {e}, &t.out);
+  e.state = EndpointState::kDraining;
+  t.b.OnEndpointUpdate(t.now, EndpointUpdateKind::kDelta, {e}, &t.out);
   for (int i = 0; i < 3; ++i) {
     t.Ask(1, 0, 1.0, static_cast<uint64_t>(20 + i));
     ASSERT_TRUE(t.Sent());
-    EXPECT_EQ(t.Got(ActionKind::kSend)->backend, 51u);
+    EXPECT_EQ(t.Got<ForwardAttempt>()->backend_id, 51u);
   }
   e.id = 51;
-  e.state = BackendState::kGone;
-  t.b.OnList(t.now, ListKind::kDelta, {e}, &t.out);
+  e.state = EndpointState::kRemoved;
+  t.b.OnEndpointUpdate(t.now, EndpointUpdateKind::kDelta, {e}, &t.out);
   t.Ask(1, 0, 1.0, 40);
   EXPECT_FALSE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
+  EXPECT_NE(t.Got<RejectRequest>(), nullptr);
 }
 
 TEST(Backends, AColdOneGetsABudget) {
-  Bench t(Site(), 1);
-  Backend e;
+  PolicyFixture t(Site(), 1);
+  Endpoint e;
   e.id = 50;
   e.started_s = 99.9;
-  t.b.OnList(t.now, ListKind::kDelta, {e}, &t.out);
+  t.b.OnEndpointUpdate(t.now, EndpointUpdateKind::kDelta, {e}, &t.out);
   double work = 0;
   for (int i = 0; i < 500; ++i) {
     t.now = 100 + i * 0.002;
@@ -543,7 +548,7 @@
 }
 
 // One attempt at a time, each answered after `took`; how many were let in over ten seconds.
-int SteadyThroughput(Bench* t, double took) {
+int SteadyThroughput(PolicyFixture* t, double took) {
   int got = 0;
   double end = t->now + 10;
   while (t->now < end) {
@@ -554,32 +559,32 @@
     }
     ++got;
     t->now += took;
-    t->End(id, 50, Result::kOk);
+    t->End(id, 50, CallResult::kOk);
   }
   return got;
 }
 
 TEST(Backends, ABusyFleetGivesAColdOneItsFractionOfTheWork) {
-  Bench t(Site(), 4);
+  PolicyFixture t(Site(), 4);
   std::vector<std::pair<uint32_t, uint32_t>> out;  // request and backend, answered 100 ms later
   int cold = 0, sent = 0;
   for (int i = 0; i < 600; ++i) {
     t.now = 100 + i * 0.01;  // each warm one does two to three and a third of these at a time
     if (i == 300) {
-      Backend e;
+      Endpoint e;
       e.id = 50;
       e.started_s = t.now - 0.1;
-      t.b.OnList(t.now, ListKind::kDelta, {e}, &t.out);
+      t.b.OnEndpointUpdate(t.now, EndpointUpdateKind::kDelta, {e}, &t.out);
     }
     if (i >= 10 && out.size() > static_cast<size_t>(i - 10) && out[i - 10].first != 0) {
-      t.End(out[i - 10].first, out[i - 10].second, Result::kOk);
+      t.End(out[i - 10].first, out[i - 10].second, CallResult::kOk);
     }
     t.Ask(1, 0, 1.0, static_cast<uint64_t>(1000 + i));
-    const Action* send = t.Got(ActionKind::kSend);
-    out.push_back(send != nullptr ? std::make_pair(t.last, send->backend) : std::make_pair(0u, 0u));
+    const ForwardAttempt* send = t.Got<ForwardAttempt>();
+    out.push_back(send != nullptr ? std::make_pair(t.last, send->backend_id) : std::make_pair(0u, 0u));
     if (send == nullptr || i < 300) continue;
     ++sent;
-    cold += send->backend == 50;
+    cold += send->backend_id == 50;
   }
   EXPECT_GT(sent, 200);
   EXPECT_GT(cold,
@@ -588,91 +593,91 @@
 }
 
 TEST(Backends, ASlowOneWithoutAQueueKeepsOneAttempt) {
-  Bench t(Site(), 1);
+  PolicyFixture t(Site(), 1);
   EXPECT_GE(SteadyThroughput(&t, 0.2), 40);  // a third of the aim is its work, no queue
-  Bench worse(Site(), 1);
+  PolicyFixture worse(Site(), 1);
   EXPECT_LE(SteadyThroughput(&worse, 0.9), 11);  // far past the aim: one at a time
 }
 
 TEST(Backends, OneThatTurnsSomeConnectionsAwayIsNotTakenForCold) {
-  Bench t(Site(), 1);
+  PolicyFixture t(Site(), 1);
   for (int i = 0; i < 4; ++i) {
     uint32_t id = t.Ask(1, 0, 1.4, 100 + static_cast<uint64_t>(i));
     ASSERT_TRUE(t.Sent());
-    t.End(id, 50, i % 3 == 2 ? Result::kOk : Result::kConnectFailed);
+    t.End(id, 50, i % 3 == 2 ? CallResult::kOk : CallResult::kConnectFailed);
     t.now += 0.6;
   }
   EXPECT_GE(SteadyThroughput(&t, 0.05), 150);
 }
 
 TEST(Backends, OneThatWasDeadIsMetAsCold) {
-  Bench t(Site(), 1);
+  PolicyFixture t(Site(), 1);
   for (int i = 0; i < 12; ++i) {
     uint32_t id = t.Ask(1, 0, 1.4, 100 + static_cast<uint64_t>(i));
-    if (t.Sent()) t.End(id, 50, Result::kConnectFailed);
+    if (t.Sent()) t.End(id, 50, CallResult::kConnectFailed);
     t.now += 0.6;
   }
   EXPECT_LE(SteadyThroughput(&t, 0.05), 60);
 }
 
 TEST(Backends, MostOfTheFleetIsNeverSetAside) {
-  Bench t(Site(), 8);
+  PolicyFixture t(Site(), 8);
   int refused = 0;
   for (int i = 0; i < 60; ++i) {
     t.now += 0.002;
     uint32_t id = t.Ask(1, 2, 1.4, static_cast<uint64_t>(100 + i));
-    const Action* send = t.Got(ActionKind::kSend);
+    const ForwardAttempt* send = t.Got<ForwardAttempt>();
     refused += send == nullptr;
-    if (send != nullptr && send->backend < 54)
-      t.End(id, send->backend, Result::kError);  // four of eight fail
+    if (send != nullptr && send->backend_id < 54)
+      t.End(id, send->backend_id, CallResult::kError);  // four of eight fail
   }
   EXPECT_EQ(refused, 0);  // the sound ones are full by then
 }
 
 TEST(Backends, OneThatFailsIsSetAside) {
-  Bench t(Site(), 3);
+  PolicyFixture t(Site(), 3);
   int bad = 0;
   for (int i = 0; i < 60; ++i) {
     t.now += 0.005;
     uint32_t id = t.Ask(1, 2, 1.0, static_cast<uint64_t>(100 + i));
     ASSERT_TRUE(t.Sent());
-    uint32_t at = t.Got(ActionKind::kSend)->backend;
+    uint32_t at = t.Got<ForwardAttempt>()->backend_id;
     bad += at == 50;
-    t.End(id, at, at == 50 ? Result::kError : Result::kOk);
+    t.End(id, at, at == 50 ? CallResult::kError : CallResult::kOk);
   }
   EXPECT_LE(bad, 4);
 }
 
 TEST(Attempts, TheLastAnswerComesBeforeTheClientGivesUp) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   uint32_t id = t.Ask(1, 2, 0.2);
-  const Action* timer = t.Got(ActionKind::kTimer);
+  const StartTimer* timer = t.Got<StartTimer>();
   ASSERT_NE(timer, nullptr);
-  EXPECT_LT(timer->seconds, 0.2);
-  EXPECT_GT(timer->seconds, 0.1);
+  EXPECT_LT(timer->delay_s, 0.2);
+  EXPECT_GT(timer->delay_s, 0.1);
   uint64_t tag = timer->tag;
-  t.now += timer->seconds;
+  t.now += timer->delay_s;
   t.out.clear();
   t.b.OnTimer(t.now, tag, &t.out);
-  ASSERT_NE(t.Got(ActionKind::kFail), nullptr);
-  EXPECT_EQ(t.Got(ActionKind::kFail)->request, id);
+  ASSERT_NE(t.Got<FailRequest>(), nullptr);
+  EXPECT_EQ(t.Got<FailRequest>()->request_id, id);
   t.out.clear();
   t.b.OnTimer(t.now, tag, &t.out);  // no longer wanted
   EXPECT_TRUE(t.out.empty());
 }
 
 TEST(Attempts, ASilentBackendIsLeft) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   uint32_t id = t.Ask(1, 0, 1.4);
-  uint32_t at = t.Got(ActionKind::kSend)->backend;
-  uint64_t tag = t.Got(ActionKind::kTimer)->tag;
-  t.now += t.Got(ActionKind::kTimer)->seconds + 0.001;
+  uint32_t at = t.Got<ForwardAttempt>()->backend_id;
+  uint64_t tag = t.Got<StartTimer>()->tag;
+  t.now += t.Got<StartTimer>()->delay_s + 0.001;
   t.out.clear();
   t.b.OnTimer(t.now, tag, &t.out);
-  ASSERT_NE(t.Got(ActionKind::kCancel), nullptr);
-  t.End(id, at, Result::kCancelled);
+  ASSERT_NE(t.Got<CancelAttempt>(), nullptr);
+  t.End(id, at, CallResult::kCancelled);
   ASSERT_TRUE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kSend)->backend, at);
+  EXPECT_NE(t.Got<ForwardAttempt>()->backend_id, at);
 }
 
 // ---- many gateways ----
@@ -680,102 +685,102 @@
 // A customer that comes in through a hundred gateways; tries may be held for the counter.
 Settings Many() {
   Settings s = Site();
-  s.gateways = 100;
-  s.count_timeout_s = 0.03;
+  s.gateway_count = 100;
+  s.counter_timeout_s = 0.03;
   return s;
 }
 
 TEST(Held, ATryIsCountedFirstAndGoesOnTheAnswer) {
-  Bench t(Many());
+  PolicyFixture t(Many());
   t.Ask(2, 0, 1.0, 9, 100);
   EXPECT_FALSE(t.Sent());
-  const Action* count = t.Got(ActionKind::kCount);
+  const CallCounter* count = t.Got<CallCounter>();
   ASSERT_NE(count, nullptr);
   EXPECT_EQ(count->amount, 2);
   t.now += 0.004;
-  t.Tell(count->tag, 4);  // others have sent two
+  t.Tell(count->key, 4);  // others have sent two
   EXPECT_TRUE(t.Sent());
 }
 
 TEST(Held, OneBeyondTheQuotaIsRefusedAndTakenOffAgain) {
-  Bench t(Many());
+  PolicyFixture t(Many());
   t.Ask(2, 0, 1.0, 9, 100);
-  const Action* count = t.Got(ActionKind::kCount);
+  const CallCounter* count = t.Got<CallCounter>();
   ASSERT_NE(count, nullptr);
   t.now += 0.004;
-  t.Tell(count->tag, 13);  // others have sent a whole burst
+  t.Tell(count->key, 13);  // others have sent a whole burst
   EXPECT_FALSE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
-  ASSERT_NE(t.Got(ActionKind::kCount), nullptr);
-  EXPECT_EQ(t.Got(ActionKind::kCount)->amount, -2);
+  EXPECT_NE(t.Got<RejectRequest>(), nullptr);
+  ASSERT_NE(t.Got<CallCounter>(), nullptr);
+  EXPECT_EQ(t.Got<CallCounter>()->amount, -2);
 }
 
 TEST(Held, EachGetsOneEndWhenTheCounterFails) {
-  for (Result result : {Result::kTimeout, Result::kFull, Result::kConnectFailed}) {
-    Bench t(Many());
+  for (CallResult result : {CallResult::kTimeout, CallResult::kRejected, CallResult::kConnectFailed}) {
+    PolicyFixture t(Many());
     t.Ask(2, 0, 1.0, 9, 100);
-    const Action* count = t.Got(ActionKind::kCount);
+    const CallCounter* count = t.Got<CallCounter>();
     ASSERT_NE(count, nullptr);
     t.now += 0.03;
-    t.Tell(count->tag, 0, result);
-    EXPECT_NE(t.Sent(), t.Got(ActionKind::kRefuse) != nullptr);
+    t.Tell(count->key, 0, result);
+    EXPECT_NE(t.Sent(), t.Got<RejectRequest>() != nullptr);
   }
 }
 
 TEST(Held, TheFirstOfAWindowTellsWhatTheOneBeforeOverspent) {
   Settings s = Many();
-  Bench t(s, 4, 100.5);  // early in a window of 5 s
+  PolicyFixture t(s, 4, 100.5);  // early in a window of 5 s
   t.Ask(2, 0, 1.0, 9, 100);
-  const Action* count = t.Got(ActionKind::kCount);
+  const CallCounter* count = t.Got<CallCounter>();
   ASSERT_NE(count, nullptr);
-  uint64_t name = count->tag;
+  uint64_t name = count->key;
   t.now += 0.004;
   t.Tell(name, 2);  // the first
   EXPECT_FALSE(t.Sent());
-  const Action* before = t.Got(ActionKind::kCount);
+  const CallCounter* before = t.Got<CallCounter>();
   ASSERT_NE(before, nullptr);
-  EXPECT_NE(before->tag, name);
+  EXPECT_NE(before->key, name);
   EXPECT_EQ(before->amount, 0);
   t.now += 0.004;
-  t.Tell(before->tag, 20);  // a burst and all that the rate gave were used there
+  t.Tell(before->key, 20);  // a burst and all that the rate gave were used there
   EXPECT_FALSE(t.Sent());
-  EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
-  ASSERT_NE(t.Got(ActionKind::kCount), nullptr);
-  EXPECT_EQ(t.Got(ActionKind::kCount)->tag, name);
-  EXPECT_EQ(t.Got(ActionKind::kCount)->amount, 8);  // ten owed, two not sent
+  EXPECT_NE(t.Got<RejectRequest>(), nullptr);
+  ASSERT_NE(t.Got<CallCounter>(), nullptr);
+  EXPECT_EQ(t.Got<CallCounter>()->key, name);
+  EXPECT_EQ(t.Got<CallCounter>()->amount, 8);  // ten owed, two not sent
 }
 
 TEST(Held, OneLeftByItsClientIsNotSent) {
-  Bench t(Many());
+  PolicyFixture t(Many());
   uint32_t id = t.Ask(2, 0, 1.0, 9, 100);
-  const Action* count = t.Got(ActionKind::kCount);
+  const CallCounter* count = t.Got<CallCounter>();
   ASSERT_NE(count, nullptr);
-  uint64_t name = count->tag;
-  t.b.OnAbandoned(t.now, id, &t.out);
+  uint64_t name = count->key;
+  t.b.OnClientGone(t.now, id, &t.out);
   t.now += 0.004;
   t.Tell(name, 2);
   EXPECT_FALSE(t.Sent());
-  EXPECT_EQ(t.Got(ActionKind::kRefuse), nullptr);
+  EXPECT_EQ(t.Got<RejectRequest>(), nullptr);
 }
 
 TEST(Held, OneWithLittleTimeIsDecidedAtOnce) {
-  Bench t(Many());
+  PolicyFixture t(Many());
   t.Ask(2, 0, 0.1, 9, 100);
-  EXPECT_NE(t.Sent(), t.Got(ActionKind::kRefuse) != nullptr);
+  EXPECT_NE(t.Sent(), t.Got<RejectRequest>() != nullptr);
 }
 
 TEST(Held, AtACapTheAnswerDecides) {
   Settings s = Many();
-  s.plans[0].rate = s.plans[0].burst = 0;
-  s.plans[0].parallel = 2;
+  s.plans[0].rate_units_per_s = s.plans[0].burst_units = 0;
+  s.plans[0].max_concurrent_attempts = 2;
   for (double total : {2.0, 3.0}) {
-    Bench t(s);
+    PolicyFixture t(s);
     t.Ask(1, 0, 1.0, 9, 100);
     EXPECT_FALSE(t.Sent());
-    const Action* count = t.Got(ActionKind::kCount);
+    const CallCounter* count = t.Got<CallCounter>();
     ASSERT_NE(count, nullptr);
     t.now += 0.004;
-    t.Tell(count->tag, total);
+    t.Tell(count->key, total);
     EXPECT_EQ(t.Sent(), total <= 2);
   }
 }
@@ -783,62 +788,63 @@
 TEST(Held, ACrowdedCounterIsCalledLess) {
   int calls[2] = {0, 0};
   for (bool crowded : {false, true}) {
-    Bench t(Many());
+    PolicyFixture t(Many());
     for (int i = 0; i < 400; ++i) {
       t.now += 0.25;
       uint32_t id = t.Ask(1, 0, 1.0, 1000 + static_cast<uint64_t>(i), 100);
-      if (const Action* count = t.Got(ActionKind::kCount); count != nullptr && !t.Sent()) {
+      if (const CallCounter* count = t.Got<CallCounter>(); count != nullptr && !t.Sent()) {
         ++calls[crowded];
-        uint64_t name = count->tag;
+        uint64_t name = count->key;
         t.now += crowded ? 0.05 : 0.004;
         t.Tell(name, i % 2 == 0 ? 1 : 40);  // every other one is beyond its quota
       }
-      if (const Action* send = t.Got(ActionKind::kSend)) t.End(id, send->backend, Result::kOk);
+      if (const ForwardAttempt* send = t.Got<ForwardAttempt>()) t.End(id, send->backend_id, CallResult::kOk);
     }
   }
   EXPECT_GT(calls[0], 300);
   EXPECT_LT(calls[1], 200);
 }
 
-// A hundred gateways' calls queue now and then however few each makes. One slow answer in ten is the most that
-// the counter bears being used, not a reason to stop asking.
+// A hundred gateways' calls queue now and then however few each makes. One slow answer in ten is the most
+// that the counter bears being used, not a reason to stop asking.
 TEST(Held, AFewSlowAnswersDoNotEndTheAsking) {
   Settings s = Many();
-  s.plans[0].over_cost = 0.3;  // little to be lost by a try beyond the quota: dear calls are not made
-  Bench t(s);
+  s.plans[0].over_quota_penalty =
+      0.3;  // little to be lost by a try beyond the quota: dear calls are not made
+  PolicyFixture t(s);
   int calls = 0;
   for (int i = 0; i < 400; ++i) {
     t.now += 0.25;
     uint32_t id = t.Ask(1, 0, 1.0, 1000 + static_cast<uint64_t>(i), 100);
-    if (const Action* count = t.Got(ActionKind::kCount); count != nullptr && !t.Sent()) {
-      uint64_t name = count->tag;
+    if (const CallCounter* count = t.Got<CallCounter>(); count != nullptr && !t.Sent()) {
+      uint64_t name = count->key;
       t.now += ++calls % 10 == 0 ? 0.05 : 0.04;
       t.Tell(name, i % 4 == 0 ? 40 : 1);  // every fourth is beyond its quota
     }
-    if (const Action* send = t.Got(ActionKind::kSend)) t.End(id, send->backend, Result::kOk);
+    if (const ForwardAttempt* send = t.Got<ForwardAttempt>()) t.End(id, send->backend_id, CallResult::kOk);
   }
   EXPECT_GT(calls, 380);
 }
 
-// Before its first read a gateway passes its part of the burst, which is one request. The next one is not refused
-// unasked for a price that is far below what the refusal would lose.
+// Before its first read a gateway passes its part of the burst, which is one request. The next one is not
+// refused unasked for a price that is far below what the refusal would lose.
 TEST(Held, OneThatWouldBeRefusedUntoldIsAsked) {
   Settings s = Many();
-  s.plans[0].rate = 20;
-  s.plans[0].burst = 100;
-  Bench t(s);
+  s.plans[0].rate_units_per_s = 20;
+  s.plans[0].burst_units = 100;
+  PolicyFixture t(s);
   auto ask = [&](uint64_t customer) {
     uint32_t id = t.Ask(1, 0, 1.0, customer, 100);
-    if (const Action* send = t.Got(ActionKind::kSend)) t.End(id, send->backend, Result::kOk);
-    return t.Got(ActionKind::kRefuse) == nullptr;
+    if (const ForwardAttempt* send = t.Got<ForwardAttempt>()) t.End(id, send->backend_id, CallResult::kOk);
+    return t.Got<RejectRequest>() == nullptr;
   };
   int late = 0;
   for (uint64_t i = 0; i < 100 && late < 10; ++i) {  // late answers make calls dear
     t.Ask(1, 0, 1.0, 100 + i, 100);
-    const Action* count = t.Got(ActionKind::kCount);
+    const CallCounter* count = t.Got<CallCounter>();
     t.now += 0.06;
     if (count == nullptr) continue;
-    t.Tell(uint64_t{count->tag}, 1);
+    t.Tell(uint64_t{count->key}, 1);
     ++late;
   }
   ASSERT_EQ(late, 10);
@@ -853,85 +859,89 @@
 
 TEST(Many, AFreshBackendIsNotSentOneRequestByEachGateway) {
   Settings s = Site();
-  s.gateways = 300;
-  s.may_count = false;
+  s.gateway_count = 300;
+  s.counter_enabled = false;
   int sent = 0;
   for (uint64_t g = 0; g < 300; ++g) {
     Actions out;
-    Balancer b(s, 1000 + g, 100, &out);
-    Backend e;
+    AdmissionPolicy b(s, 1000 + g, 100, &out);
+    Endpoint e;
     e.id = 5;
     e.started_s = 99.9;
-    b.OnList(100, ListKind::kCached, {e}, &out);
+    b.OnEndpointUpdate(100, EndpointUpdateKind::kCached, {e}, &out);
     Request r;
     r.id = 1;
-    r.left_s = 1;
-    r.units = 1;
+    r.time_left_s = 1;
+    r.cost_units = 1;
     out.clear();
     b.OnRequest(100.1, r, &out);
-    sent += std::count_if(out.begin(), out.end(), [](const Action& a) { return a.kind == ActionKind::kSend; });
+    sent += std::count_if(out.begin(), out.end(),
+                          [](const Action& a) { return std::holds_alternative<ForwardAttempt>(a); });
   }
   EXPECT_LT(sent, 10);
 }
 
-// Each of a hundred gateways may send a cold backend one request in seconds. What it may be sent it is sent, or
-// the warm ones are left with the whole load and the cold ones stay cold.
+// Each of a hundred gateways may send a cold backend one request in seconds. What it may be sent it is sent,
+// or the warm ones are left with the whole load and the cold ones stay cold.
 TEST(Many, FreshBackendsAreSentTheirFraction) {
   Settings s = Site();
-  s.gateways = 100;
-  s.may_count = false;
+  s.gateway_count = 100;
+  s.counter_enabled = false;
   int cold = 0;
   constexpr int kWarm = 10, kCold = 10;
   for (uint64_t g = 0; g < 100; ++g) {
     Actions out;
     double now = 100;
-    Balancer b(s, 1000 + g, now, &out);
-    std::vector<Backend> list;
+    AdmissionPolicy b(s, 1000 + g, now, &out);
+    std::vector<Endpoint> list;
     for (uint32_t i = 0; i < kWarm; ++i) list.push_back({.id = i});
-    b.OnList(now, ListKind::kFull, list, &out);
-    for (uint32_t i = 1; i <= 70; ++i) {  // a request each 0.2 s, answered in 0.1 s: 50 a second for a warm one
+    b.OnEndpointUpdate(now, EndpointUpdateKind::kFull, list, &out);
+    for (uint32_t i = 1; i <= 70;
+         ++i) {  // a request each 0.2 s, answered in 0.1 s: 50 a second for a warm one
       now += 0.1;
       if (i == 50) {
-        std::vector<Backend> fresh;
+        std::vector<Endpoint> fresh;
         for (uint32_t k = 0; k < kCold; ++k) fresh.push_back({.id = 100 + k, .started_s = now - 0.1});
-        b.OnList(now, ListKind::kDelta, fresh, &out);
+        b.OnEndpointUpdate(now, EndpointUpdateKind::kDelta, fresh, &out);
       }
       Request r;
       r.id = i;
-      r.customer = g * 1000 + i;
-      r.left_s = 1.5;
-      r.units = 1;
+      r.tenant = g * 1000 + i;
+      r.time_left_s = 1.5;
+      r.cost_units = 1;
       out.clear();
       b.OnRequest(now, r, &out);
       now += 0.1;
       for (const Action& a : Actions(out)) {
-        if (a.kind != ActionKind::kSend) continue;
-        if (a.backend >= 100) ++cold;
-        Outcome o;
-        o.request = i;
-        o.finished = true;
-        o.backend = a.backend;
-        b.OnOutcome(now, o, &out);
+        const auto* forward = std::get_if<ForwardAttempt>(&a);
+        if (forward == nullptr) continue;
+        if (forward->backend_id >= 100) ++cold;
+        AttemptOutcome o;
+        o.request_id = i;
+        o.request_finished = true;
+        o.backend_id = forward->backend_id;
+        b.OnAttemptOutcome(now, o, &out);
       }
     }
   }
-  // In 4 s from a fifth of a warm one's 50 a second to two fifths: all may get 600, four fifths of it are ours.
+  // In 4 s from a fifth of a warm one's 50 a second to two fifths: all may get 600, four fifths of it are
+  // ours.
   EXPECT_GT(cold, 300);
   EXPECT_LT(cold, 600);
 }
 
 TEST(Many, SlowAnswersOfAllBackendsTogetherLowerWhatIsLetIn) {
   Settings s = Site();
-  s.may_count = false;
+  s.counter_enabled = false;
   int let_in[2] = {0, 0};
   for (bool slow : {false, true}) {
-    Bench t(s, 100);
+    PolicyFixture t(s, 100);
     for (int i = 0; i < 200; ++i) {  // one at a time, seldom the same backend twice
       uint32_t id = t.Ask(1, 0, 1.4, 1000 + static_cast<uint64_t>(i));
-      const Action* send = t.Got(ActionKind::kSend);
-      uint32_t at = send != nullptr ? send->backend : 0;
+      const ForwardAttempt* send = t.Got<ForwardAttempt>();
+      uint32_t at = send != nullptr ? send->backend_id : 0;
       t.now += slow ? 0.5 : 0.05;
-      if (at != 0) t.End(id, at, Result::kOk);
+      if (at != 0) t.End(id, at, CallResult::kOk);
       let_in[slow] += at != 0;
     }
   }
@@ -943,80 +953,81 @@
 // nothing would ever tell that the fleet has room, so after an aim without one the next is let in.
 TEST(Many, OneIsLetInAfterAnAimWithoutAnAttempt) {
   Settings s = Site();
-  s.may_count = false;
-  Bench t(s, 100);
+  s.counter_enabled = false;
+  PolicyFixture t(s, 100);
   auto ask = [&](int i) { return t.Ask(1, 2, 0.8, 1000 + static_cast<uint64_t>(i)); };  // sent once at most
   uint32_t first = t.Ask(1, 2, 1.4);  // so that 0.8 s left are few
-  t.End(first, t.Got(ActionKind::kSend)->backend, Result::kOk);
+  t.End(first, t.Got<ForwardAttempt>()->backend_id, CallResult::kOk);
   for (int i = 0; i < 400; ++i) {
     uint32_t id = ask(i);
-    const Action* send = t.Got(ActionKind::kSend);
-    uint32_t at = send != nullptr ? send->backend : 0;
+    const ForwardAttempt* send = t.Got<ForwardAttempt>();
+    uint32_t at = send != nullptr ? send->backend_id : 0;
     t.now += at != 0 ? 0.59 : 0.02;
-    if (at != 0) t.End(id, at, Result::kOk);
+    if (at != 0) t.End(id, at, CallResult::kOk);
   }
   int sent = 0;
   for (int i = 0; i < 16; ++i) {  // 4 s
     t.now += 0.25;
     uint32_t id = ask(1000 + i);
-    const Action* send = t.Got(ActionKind::kSend);
+    const ForwardAttempt* send = t.Got<ForwardAttempt>();
     if (send == nullptr) continue;
     ++sent;
-    t.End(id, send->backend, Result::kError);
+    t.End(id, send->backend_id, CallResult::kError);
   }
   EXPECT_GE(sent, 3);
 }
 
 TEST(Input, NoSenseFromTheCounterOrTheListHarmsNothing) {
   Settings s = Many();
-  s.gateways = 3;
-  Bench t(s);
+  s.gateway_count = 3;
+  PolicyFixture t(s);
   uint64_t customer = 9;  // each time another one: a call of the one before may still be out
-  for (double total : {-5.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
-    t.Tell(12345, total);  // a name nobody asked for
+  for (double total :
+       {-5.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
+    t.Tell(12345, total);                // a name nobody asked for
     t.Ask(1, 0, 1.0, customer++, 1000);  // more entries than gateways
-    const Action* count = t.Got(ActionKind::kCount);
+    const CallCounter* count = t.Got<CallCounter>();
     ASSERT_NE(count, nullptr);
     t.now += 6;
-    t.Tell(count->tag, total);
+    t.Tell(count->key, total);
     t.now += 0.001;
   }
-  t.b.OnList(t.now, ListKind::kFull, {}, &t.out);
+  t.b.OnEndpointUpdate(t.now, EndpointUpdateKind::kFull, {}, &t.out);
   t.Ask(1, 0, 1.0, 77, 1);
-  EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
-  Backend e;
+  EXPECT_NE(t.Got<RejectRequest>(), nullptr);
+  Endpoint e;
   e.id = 50;
-  t.b.OnList(t.now, ListKind::kFull, {e}, &t.out);
+  t.b.OnEndpointUpdate(t.now, EndpointUpdateKind::kFull, {e}, &t.out);
   EXPECT_TRUE(t.Serve(1, 78, 1));
 }
 
 TEST(Input, WhatMakesNoSenseIsRefused) {
-  Bench t(Site());
+  PolicyFixture t(Site());
   const double nan = std::numeric_limits<double>::quiet_NaN(), inf = std::numeric_limits<double>::infinity();
   for (double units : {0.0, -1.0, nan, inf}) {
     t.Ask(units);
-    EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
+    EXPECT_NE(t.Got<RejectRequest>(), nullptr);
   }
   for (double left : {0.0, -1.0, nan}) {
     t.Ask(1, 0, left);
-    EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
+    EXPECT_NE(t.Got<RejectRequest>(), nullptr);
   }
   t.Ask(1, 9);
-  EXPECT_NE(t.Got(ActionKind::kRefuse), nullptr);
-  Bench none(Site(), 0);
+  EXPECT_NE(t.Got<RejectRequest>(), nullptr);
+  PolicyFixture none(Site(), 0);
   none.Ask();
-  EXPECT_NE(none.Got(ActionKind::kRefuse), nullptr);
+  EXPECT_NE(none.Got<RejectRequest>(), nullptr);
 }
 
 TEST(Input, UnknownIdsArePassedOver) {
-  Bench t(Site());
-  t.End(4711, 50, Result::kOk);
-  t.b.OnAbandoned(t.now, 4711, &t.out);
+  PolicyFixture t(Site());
+  t.End(4711, 50, CallResult::kOk);
+  t.b.OnClientGone(t.now, 4711, &t.out);
   t.b.OnTimer(t.now, 4711, &t.out);
-  t.b.OnStreamBegun(t.now, 4711, &t.out);
+  t.b.OnResponseStarted(t.now, 4711, &t.out);
   t.Tell(4711, 3);
   EXPECT_TRUE(t.out.empty());
 }
 
 }  // namespace
-}  // namespace micadock
+}  // namespace gateway::policy
--- a/tests/gateway_rig.h
+++ b/tests/support/gateway_fixture.h
@@ -1,7 +1,7 @@
 // What the socket tests share: a gateway process, and the peers it talks to, on ephemeral loopback ports.
 // Everything waits for events, with limits far above what any of them takes.
-#ifndef IVYGW_TESTS_GATEWAY_RIG_H_
-#define IVYGW_TESTS_GATEWAY_RIG_H_
+#ifndef GATEWAY_TESTS_SUPPORT_GATEWAY_FIXTURE_H_
+#define GATEWAY_TESTS_SUPPORT_GATEWAY_FIXTURE_H_
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
 #include <thread>
 #include <vector>
 
-namespace rig {
+namespace gateway::test_support {
 
 using nlohmann::json;
 inline constexpr int kLimitS = 60;  // an event that has not come by then never will
@@ -370,10 +370,10 @@
 // A running gateway.
 class Process {
  public:
-  explicit Process(const json& config, const char* program = IVYGW, rlim_t descriptors = 0)
+  explicit Process(const json& config, const char* program = API_GATEWAY, rlim_t descriptors = 0)
       : Process(config.dump(), program, descriptors) {}
   Process(const std::string& config, const char* program, rlim_t descriptors) {
-    char path[] = "/tmp/ivygw-test-XXXXXX";
+    char path[] = "/tmp/api-gateway-test-XXXXXX";
     int file = mkstemp(path);
     EXPECT_GE(file, 0);
     path_ = path;
@@ -512,7 +512,8 @@
 
 // A gateway among peers that behave, with the given backends.
 struct Site {
-  explicit Site(const json& entries, json config = {}, const char* program = IVYGW, rlim_t descriptors = 0) {
+  explicit Site(const json& entries, json config = {}, const char* program = API_GATEWAY,
+                rlim_t descriptors = 0) {
     discovery.Set(entries);
     if (!config.is_object()) config = Config(0, 0);
     config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
@@ -541,6 +542,6 @@
   return Server([](Wire&) {}).port();
 }
 
-}  // namespace rig
+}  // namespace gateway::test_support
 
-#endif  // IVYGW_TESTS_GATEWAY_RIG_H_
+#endif  // GATEWAY_TESTS_SUPPORT_GATEWAY_FIXTURE_H_
