--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -71,10 +71,10 @@
   return {address, port};
 }
 
-Config ParseConfig(const std::string& text) {
+GatewayConfig ParseGatewayConfig(const std::string& text) {
   json all = json::parse(text, nullptr, false);
   if (!all.is_object()) throw ConfigError("", "the configuration is not a JSON object");
-  Config config;
+  GatewayConfig config;
   config.name = Text(all, "name");
   config.listen = ParseAddress("listen", Text(all, "listen"));
   config.discovery = ParseAddress("discovery", Text(all, "discovery"));
@@ -111,8 +111,8 @@
   return config;
 }
 
-void CheckSameGateway(const Config& now, const Config& fresh) {
-  auto effects = [](const Config& config) {
+void CheckSameGateway(const GatewayConfig& now, const GatewayConfig& fresh) {
+  auto effects = [](const GatewayConfig& config) {
     std::vector<policy::Idempotency> all;
     for (const auto& cls : config.settings.classes) all.push_back(cls.idempotency);
     return all;
@@ -127,11 +127,11 @@
     throw ConfigError(other, std::string("the configuration is another gateway's: ") + other);
 }
 
-Config LoadConfig(const std::string& path) {
+GatewayConfig LoadGatewayConfig(const std::string& path) {
   std::ifstream in(path);
   std::stringstream text;
   if (!in || !(text << in.rdbuf())) throw ConfigError("", "cannot read the configuration " + path);
-  return ParseConfig(text.str());
+  return ParseGatewayConfig(text.str());
 }
 
 }  // namespace gateway::config
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -15,7 +15,7 @@
 
 using boost::asio::ip::tcp;
 
-struct Config {
+struct GatewayConfig {
   std::string name;
   tcp::endpoint listen;
   tcp::endpoint discovery;
@@ -39,10 +39,10 @@
 std::string PlainName(std::string_view name);
 
 // Throws ConfigError, in plain words, on what is missing or unreadable.
-Config ParseConfig(const std::string& text);
+GatewayConfig ParseGatewayConfig(const std::string& text);
 // Throws ConfigError where `fresh` is another gateway's or another customer's configuration.
-void CheckSameGateway(const Config& now, const Config& fresh);
-Config LoadConfig(const std::string& path);
+void CheckSameGateway(const GatewayConfig& now, const GatewayConfig& fresh);
+GatewayConfig LoadGatewayConfig(const std::string& path);
 
 }  // namespace gateway::config
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,7 @@
     // Signals first, so that one that comes during the start waits for its end.
     boost::asio::io_context io(1);
     boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
-    gateway::config::Config config = gateway::config::LoadConfig(path);
+    gateway::config::GatewayConfig config = gateway::config::LoadGatewayConfig(path);
     gateway::net::Gateway server(io, config);
     signals.async_wait([&](boost::system::error_code error, int) {
       if (error) return;
@@ -28,7 +28,7 @@
       reload.async_wait([&](boost::system::error_code error, int) {
         if (error) return;
         try {
-          server.Reload(gateway::config::LoadConfig(path));
+          server.Reload(gateway::config::LoadGatewayConfig(path));
           std::fprintf(stderr, "configuration read again\n");
         } catch (const std::exception& bad) {
           std::fprintf(stderr, "configuration kept as it was: %s\n", bad.what());
--- a/src/net/backend_pool.cpp
+++ b/src/net/backend_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/backend_pool.h"
+#include "net/backend_connection_pool.h"
 
 #include <algorithm>
 #include <charconv>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-struct BackendPool::Backend {
+struct BackendConnectionPool::Backend {
   tcp::endpoint address;
   bool draining = false;
   Clock::time_point no_send_after{};              // of a draining one
@@ -30,9 +30,9 @@
 };
 
 // One connection. It always has one read pending, so that an end or unasked bytes are seen while it is idle.
-class BackendPool::Connection : public std::enable_shared_from_this<Connection> {
+class BackendConnectionPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Connection(BackendPool* pool, uint32_t backend, const tcp::endpoint& address)
+  Connection(BackendConnectionPool* pool, uint32_t backend, const tcp::endpoint& address)
       : pool_(pool), backend_(backend), address_(address), socket_(pool->io_), timer_(pool->io_) {
     ++pool_->connections_;
   }
@@ -189,7 +189,7 @@
   }
 
   void Answered(bool keep) {
-    AttemptEnd end;
+    AttemptResult end;
     auto& answer = parser_->get();
     unsigned status = answer.result_int();
     bool not_started = View(answer["Not-Started"]) == "1";
@@ -214,12 +214,12 @@
   }
 
   void Finish(CallResult result) {
-    AttemptEnd end;
+    AttemptResult end;
     end.result = result;
     Finish(std::move(end), false);
   }
 
-  void Finish(AttemptEnd end, bool keep) {
+  void Finish(AttemptResult end, bool keep) {
     if (!busy_) return;
     busy_ = false;
     end.took_s = std::chrono::duration<double>(Clock::now() - began_).count();
@@ -240,7 +240,7 @@
     if (done) done(std::move(end));
   }
 
-  BackendPool* pool_;
+  BackendConnectionPool* pool_;
   const uint32_t backend_;
   const tcp::endpoint address_;
   tcp::socket socket_;
@@ -259,8 +259,8 @@
   size_t sent_ = 0, size_ = 0;  // of the attempt's message: bytes handed to the socket, and all
 };
 
-BackendPool::BackendPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
-                         size_t most_connections, double settle_s)
+BackendConnectionPool::BackendConnectionPool(asio::io_context& io, double idle_s, double connect_timeout_s,
+                                             double drain_grace_s, size_t most_connections, double settle_s)
     : io_(io),
       idle_(Seconds(idle_s > 0 ? idle_s * kIdleShare : 5)),
       connect_timeout_(Seconds(connect_timeout_s)),
@@ -268,19 +268,19 @@
       settle_(Seconds(settle_s)),
       most_(most_connections) {}
 
-BackendPool::~BackendPool() {
+BackendConnectionPool::~BackendConnectionPool() {
   auto out = std::move(out_);
   out_.clear();
   for (auto& [attempt, connection] : out) connection->Abort();
   CloseIdle();
 }
 
-BackendPool::Backend* BackendPool::Find(uint32_t id) {
+BackendConnectionPool::Backend* BackendConnectionPool::Find(uint32_t id) {
   auto it = backends_.find(id);
   return it == backends_.end() ? nullptr : it->second.get();
 }
 
-void BackendPool::Update(uint32_t backend, tcp::endpoint address) {
+void BackendConnectionPool::Update(uint32_t backend, tcp::endpoint address) {
   auto& b = backends_[backend];
   if (b == nullptr) b = std::make_unique<Backend>();
   b->draining = false;
@@ -291,7 +291,7 @@
   for (auto& connection : kept) connection->CloseSocket();
 }
 
-void BackendPool::Drain(uint32_t backend, Clock::time_point told) {
+void BackendConnectionPool::Drain(uint32_t backend, Clock::time_point told) {
   Backend* b = Find(backend);
   if (b == nullptr || b->draining) return;
   b->draining = true;
@@ -301,12 +301,12 @@
   for (auto& connection : kept) connection->CloseSocket();
 }
 
-void BackendPool::Remove(uint32_t backend) {
+void BackendConnectionPool::Remove(uint32_t backend) {
   Drain(backend, Clock::now());
   backends_.erase(backend);
 }
 
-bool BackendPool::MakeRoom() {
+bool BackendConnectionPool::MakeRoom() {
   if (connections_ < most_) return true;
   if (idle_order_.empty()) return false;
   Connection* oldest = idle_order_.front();
@@ -314,7 +314,8 @@
   return true;
 }
 
-uint64_t BackendPool::Send(uint32_t backend, Compose compose, double patience_s, Done done, Wanted wanted) {
+uint64_t BackendConnectionPool::Send(uint32_t backend, Compose compose, double patience_s, Done done,
+                                     Wanted wanted) {
   uint64_t attempt = ++last_attempt_;
   Backend* b = Find(backend);
   bool may = b != nullptr && !(b->draining && Clock::now() >= b->no_send_after);
@@ -337,7 +338,7 @@
   if (connection == nullptr) {  // no such backend, its grace is over, or every connection is in use
     // The last is this gateway's own shortage, and no fault of the backend.
     asio::post(io_, [done = std::move(done), may] {
-      AttemptEnd end;
+      AttemptResult end;
       end.result = may ? CallResult::kNeverSent : CallResult::kConnectFailed;
       done(std::move(end));
     });
@@ -348,7 +349,7 @@
   return attempt;
 }
 
-bool BackendPool::Cancel(uint64_t attempt, bool* may_have_run) {
+bool BackendConnectionPool::Cancel(uint64_t attempt, bool* may_have_run) {
   auto it = out_.find(attempt);
   if (it == out_.end()) return false;
   std::shared_ptr<Connection> connection = it->second;
@@ -357,14 +358,14 @@
   return true;
 }
 
-bool BackendPool::DropUnsent(uint64_t attempt) {
+bool BackendConnectionPool::DropUnsent(uint64_t attempt) {
   auto it = out_.find(attempt);
   if (it == out_.end() || it->second->written()) return false;
   bool ran = false;
   return Cancel(attempt, &ran);
 }
 
-void BackendPool::CloseIdle() {
+void BackendConnectionPool::CloseIdle() {
   while (!idle_order_.empty()) idle_order_.front()->DropIdle();
 }
 
--- a/src/net/backend_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -1,7 +1,7 @@
 // Connections to backends, the attempts on them and how these end. Decides nothing: it sends where it is told
 // and reports one outcome for each attempt.
-#ifndef GATEWAY_NET_BACKEND_POOL_H_
-#define GATEWAY_NET_BACKEND_POOL_H_
+#ifndef GATEWAY_NET_BACKEND_CONNECTION_POOL_H_
+#define GATEWAY_NET_BACKEND_CONNECTION_POOL_H_
 
 #include <chrono>
 #include <functional>
@@ -9,17 +9,13 @@
 #include <memory>
 #include <unordered_map>
 
-#include "net/http.h"
+#include "net/clock.h"
+#include "net/http_util.h"
 #include "policy/admission_policy.h"
 
 namespace gateway::net {
 
-using Clock = std::chrono::steady_clock;
-inline Clock::duration Seconds(double s) {
-  return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(s));
-}
-
-struct AttemptEnd {
+struct AttemptResult {
   policy::CallResult result = policy::CallResult::kOk;
   double took_s = 0;
   double true_units = 0;
@@ -27,9 +23,9 @@
   std::string body;
 };
 
-class BackendPool {
+class BackendConnectionPool {
  public:
-  using Done = std::function<void(AttemptEnd)>;
+  using Done = std::function<void(AttemptResult)>;
   using Wanted = std::function<bool()>;
   // The message, made as it is about to be written, so that it tells what is left of the patience then.
   using Compose = std::function<std::string(double left_s)>;
@@ -37,9 +33,9 @@
   // milliseconds behind the first, and would pass for that to the next request.
   static constexpr double kSettleS = 0.01;
 
-  BackendPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
-              size_t most_connections, double settle_s = kSettleS);
-  ~BackendPool();
+  BackendConnectionPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
+                        size_t most_connections, double settle_s = kSettleS);
+  ~BackendConnectionPool();
 
   void Update(uint32_t backend, tcp::endpoint address);  // ready: named by discovery
   // Told at `told` to be draining, perhaps a while before it was read: nothing new after the grace from then.
@@ -81,4 +77,4 @@
 
 }  // namespace gateway::net
 
-#endif  // GATEWAY_NET_BACKEND_POOL_H_
+#endif  // GATEWAY_NET_BACKEND_CONNECTION_POOL_H_
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -53,12 +53,12 @@
     Read();
   }
 
-  void Reply(Answer answer) {
+  void Reply(Response answer) {
     if (state_ != State::kHeld) return;
     Write(std::move(answer), keep_ && !server_->asking_to_close_);
   }
 
-  bool Gone() {
+  bool HasClientLeft() {
     pollfd end{socket_.native_handle(), POLLRDHUP, 0};
     return poll(&end, 1, 0) > 0 && (end.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   }
@@ -71,7 +71,7 @@
   }
   // The same for one of which a part has come, or that has had its last answer: the rest may be here already.
   bool CloseIfUnfinished() {
-    if (!unfinished_at_.has_value() || Unread(socket_)) return false;
+    if (!incomplete_position_.has_value() || Unread(socket_)) return false;
     Close();
     return true;
   }
@@ -104,8 +104,8 @@
   void NotIdle() {
     if (idle_at_.has_value()) server_->idle_.erase(*idle_at_);
     idle_at_.reset();
-    if (unfinished_at_.has_value()) server_->unfinished_.erase(*unfinished_at_);
-    unfinished_at_.reset();
+    if (incomplete_position_.has_value()) server_->incomplete_.erase(*incomplete_position_);
+    incomplete_position_.reset();
   }
 
   // Ready for the next request, of which bytes may have come already.
@@ -156,7 +156,7 @@
     timer_.expires_after(kGoneLook);
     timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
       if (cancelled || state_ != State::kHeld) return;
-      if (Gone()) return Close();
+      if (HasClientLeft()) return Close();
       WatchForGoing();
     });
   }
@@ -171,7 +171,7 @@
     if (!begun_) {
       begun_ = true;
       NotIdle();
-      unfinished_at_ = server_->unfinished_.insert(server_->unfinished_.end(), id_);
+      incomplete_position_ = server_->incomplete_.insert(server_->incomplete_.end(), id_);
     }
     if (error_code error = Feed(*parser_, buffer_)) return Refuse(error);
     if (parser_->is_done()) return Whole();
@@ -208,12 +208,12 @@
   // The framing is in doubt: the answer ends the connection.
   void Refuse(error_code error) {
     if (timed_) timer_.cancel();
-    Answer answer;
+    Response answer;
     answer.status = error == http::error::header_limit ? 431 : error == http::error::body_limit ? 413 : 400;
     Write(std::move(answer), false);
   }
 
-  void Write(Answer answer, bool keep) {
+  void Write(Response answer, bool keep) {
     state_ = State::kWriting;
     message_.clear();
     message_.reserve(answer.headers.size() + answer.body.size() + 160);
@@ -264,7 +264,7 @@
     state_ = State::kLingering;
     buffer_.clear();
     NotIdle();
-    unfinished_at_ = server_->unfinished_.insert(server_->unfinished_.end(), id_);
+    incomplete_position_ = server_->incomplete_.insert(server_->incomplete_.end(), id_);
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     timer_.expires_after(kLinger);
@@ -280,7 +280,7 @@
   asio::steady_timer timer_;  // of a request that is not whole, then of lingering
   boost::beast::flat_buffer buffer_{kMostAhead + kReadChunk};
   std::optional<http::request_parser<http::string_body>> parser_;
-  std::optional<std::list<uint64_t>::iterator> idle_at_, unfinished_at_;
+  std::optional<std::list<uint64_t>::iterator> idle_at_, incomplete_position_;
   std::string message_;
   State state_ = State::kReading;
   size_t sent_ = 0;  // bytes of message_
@@ -338,7 +338,7 @@
   for (uint64_t id : std::vector<uint64_t>(idle_.begin(), idle_.end())) {
     if (id != spared && connections_.at(id)->CloseIfIdle()) return;
   }
-  for (uint64_t id : std::vector<uint64_t>(unfinished_.begin(), unfinished_.end())) {
+  for (uint64_t id : std::vector<uint64_t>(incomplete_.begin(), incomplete_.end())) {
     if (connections_.at(id)->CloseIfUnfinished()) return;
   }
 }
@@ -360,26 +360,26 @@
   connection->Start();
 }
 
-void ClientServer::Reply(uint64_t connection, Answer answer) {
+void ClientServer::Reply(uint64_t connection, Response answer) {
   auto it = connections_.find(connection);
   if (it == connections_.end()) return;
   auto kept = it->second;
   kept->Reply(std::move(answer));
 }
 
-bool ClientServer::Gone(uint64_t connection) {
+bool ClientServer::HasClientLeft(uint64_t connection) {
   auto it = connections_.find(connection);
-  return it == connections_.end() || it->second->Gone();
+  return it == connections_.end() || it->second->HasClientLeft();
 }
 
-void ClientServer::Drop(uint64_t connection) {
+void ClientServer::Close(uint64_t connection) {
   auto it = connections_.find(connection);
   if (it == connections_.end()) return;
   auto kept = it->second;
   kept->Close();
 }
 
-bool ClientServer::Quiet() {
+bool ClientServer::HasNoConnections() {
   pollfd waiting{acceptor_.native_handle(), POLLIN, 0};
   return connections_.empty() && poll(&waiting, 1, 0) == 0;
 }
@@ -388,9 +388,9 @@
   for (uint64_t id : std::vector<uint64_t>(idle_.begin(), idle_.end())) connections_.at(id)->CloseIfIdle();
 }
 
-void ClientServer::CloseUnfinished() {
+void ClientServer::CloseIncomplete() {
   CloseIdle();
-  for (uint64_t id : std::vector<uint64_t>(unfinished_.begin(), unfinished_.end())) {
+  for (uint64_t id : std::vector<uint64_t>(incomplete_.begin(), incomplete_.end())) {
     connections_.at(id)->CloseIfUnfinished();
   }
 }
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -7,13 +7,13 @@
 #include <memory>
 #include <unordered_map>
 
-#include "net/backend_pool.h"
+#include "net/backend_connection_pool.h"
 
 namespace gateway::net {
 
-using ClientMessage = http::request<http::string_body>;
+using ClientRequest = http::request<http::string_body>;
 
-struct Answer {
+struct Response {
   int status = 500;
   double retry_after_s = 0;  // 0: none
   std::string headers;       // further header lines
@@ -22,8 +22,8 @@
 
 class ClientServer {
  public:
-  // Takes a whole request that came on `connection`; it is answered by Answer, once, now or later.
-  using OnRequest = std::function<void(uint64_t connection, ClientMessage)>;
+  // Takes a whole request that came on `connection`; it is answered by Response, once, now or later.
+  using OnRequest = std::function<void(uint64_t connection, ClientRequest)>;
   // The connection has ended; `held`: with a request on it that was not answered, so its client has gone.
   using OnClosed = std::function<void(uint64_t connection, bool held)>;
 
@@ -35,17 +35,17 @@
 
   void Listen(const tcp::endpoint& address);  // throws boost::system::system_error
   tcp::endpoint local() const { return acceptor_.local_endpoint(); }
-  void Reply(uint64_t connection, Answer answer);
+  void Reply(uint64_t connection, Response answer);
   // Whether its client has closed it or ended its sending, whatever is still unread: asked of the socket,
   // since the event may wait behind others in a busy loop.
-  bool Gone(uint64_t connection);
-  void Drop(uint64_t connection);  // of a client that has gone
+  bool HasClientLeft(uint64_t connection);
+  void Close(uint64_t connection);  // of a client that has gone
 
-  void AskToClose() { asking_to_close_ = true; }  // from now on each answer ends its connection
-  void CloseIdle();                               // those on which nothing has begun
-  void CloseUnfinished();  // those as well that have begun and of which nothing waits unread
-  size_t unfinished() const { return unfinished_.size(); }
-  bool Quiet();  // no connection is open, and none waits to be accepted
+  void CloseAfterResponses() { asking_to_close_ = true; }  // from now on each answer ends its connection
+  void CloseIdle();                                        // those on which nothing has begun
+  void CloseIncomplete();  // those as well that have begun and of which nothing waits unread
+  size_t incomplete() const { return incomplete_.size(); }
+  bool HasNoConnections();  // no connection is open, and none waits to be accepted
 
  private:
   class Connection;
@@ -66,7 +66,7 @@
   bool asking_to_close_ = false, paused_ = false;
   std::unordered_map<uint64_t, std::shared_ptr<Connection>> connections_;
   std::list<uint64_t> idle_;        // longest idle first
-  std::list<uint64_t> unfinished_;  // begun but not whole, or lingering: the first to begin first
+  std::list<uint64_t> incomplete_;  // begun but not whole, or lingering: the first to begin first
 };
 
 }  // namespace gateway::net
--- a/src/net/counter_client.h
+++ b/src/net/counter_client.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "net/backend_pool.h"
+#include "net/backend_connection_pool.h"
 #include "policy/admission_policy.h"
 
 namespace gateway::net {
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -28,13 +28,13 @@
 
 }  // namespace
 
-uint32_t BackendIds::NameHash(std::string_view name) {
+uint32_t EndpointIds::NameHash(std::string_view name) {
   uint32_t hash = 2166136261u;  // FNV-1a
   for (char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
   return hash;
 }
 
-uint32_t BackendIds::Of(const std::string& name) {
+uint32_t EndpointIds::Of(const std::string& name) {
   auto it = ids_.find(name);
   if (it != ids_.end()) return it->second;
   uint32_t id = hash_(name);
@@ -43,14 +43,14 @@
   return id;
 }
 
-BackendList ParseList(const json& list, const config::DeploymentSettings& site, BackendIds* ids) {
-  BackendList out;
-  std::vector<std::pair<std::string, Listed>> named;
+EndpointList ParseEndpointList(const json& list, const config::DeploymentSettings& site, EndpointIds* ids) {
+  EndpointList out;
+  std::vector<std::pair<std::string, ListedEndpoint>> named;
   try {
     out.index = list.at("index").get<uint64_t>();
     out.full = list.at("snapshot").get<bool>();
     for (const json& entry : list.at("endpoints")) {
-      Listed listed;
+      ListedEndpoint listed;
       policy::Endpoint& b = listed.backend;
       std::string status = entry.at("status").get<std::string>();
       if (status == "active") {
@@ -92,7 +92,7 @@
 }
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint address,
-                                 const config::DeploymentSettings& site, BackendIds* ids, OnList on_list,
+                                 const config::DeploymentSettings& site, EndpointIds* ids, OnList on_list,
                                  OnFailed on_failed)
     : io_(io),
       address_(address),
@@ -205,9 +205,9 @@
 
 void DiscoveryClient::Answered() {
   if (parser_->get().result_int() != 200) return Failed();
-  BackendList list;
+  EndpointList list;
   try {
-    list = ParseList(json::parse(parser_->get().body()), site_, ids_);
+    list = ParseEndpointList(json::parse(parser_->get().body()), site_, ids_);
   } catch (const std::exception&) {
     return Failed();  // what is no list changes nothing: the old list is kept
   }
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -12,29 +12,29 @@
 #include <vector>
 
 #include "config/settings_parser.h"
-#include "net/backend_pool.h"
+#include "net/backend_connection_pool.h"
 #include "policy/admission_policy.h"
 
 namespace gateway::net {
 
-struct Listed {
+struct ListedEndpoint {
   policy::Endpoint backend;
   tcp::endpoint address;
 };
-struct BackendList {
+struct EndpointList {
   uint64_t index = 0;
   bool full = false;
   // Since when the agent may have had this: from then on it counts as told, whenever it is read.
   Clock::time_point told{};
-  std::vector<Listed> entries;
+  std::vector<ListedEndpoint> entries;
 };
 
 // Ids that are the same at every gateway, since they come of the names alone. Two names of one hash are told
 // apart by the next free number; only then may gateways that met them in another order differ.
-class BackendIds {
+class EndpointIds {
  public:
   using Hash = uint32_t (*)(std::string_view);
-  explicit BackendIds(Hash hash = &NameHash) : hash_(hash) {}
+  explicit EndpointIds(Hash hash = &NameHash) : hash_(hash) {}
   uint32_t Of(const std::string& name);
   static uint32_t NameHash(std::string_view name);
 
@@ -51,7 +51,8 @@
 };
 
 // Throws DiscoveryError on anything that is not a list in discovery's form.
-BackendList ParseList(const nlohmann::json& list, const config::DeploymentSettings& site, BackendIds* ids);
+EndpointList ParseEndpointList(const nlohmann::json& list, const config::DeploymentSettings& site,
+                               EndpointIds* ids);
 
 class DiscoveryClient {
  public:
@@ -77,11 +78,11 @@
   // reached, and after SIGHUP.
   static constexpr double kToldS = 6, kToldMoveS = 4;
 
-  using OnList = std::function<void(BackendList)>;
+  using OnList = std::function<void(EndpointList)>;
   using OnFailed = std::function<void()>;
 
   DiscoveryClient(asio::io_context& io, tcp::endpoint address, const config::DeploymentSettings& site,
-                  BackendIds* ids, OnList on_list, OnFailed on_failed);
+                  EndpointIds* ids, OnList on_list, OnFailed on_failed);
 
   void Start();                             // no-op once running: what fails is tried again here
   void Move(const tcp::endpoint& address);  // asks another agent for the whole list, at once
@@ -102,7 +103,7 @@
   tcp::endpoint address_;
   const config::DeploymentSettings& site_;
   const double learn_s_;  // in which a change has to be learnt, whatever falls silent
-  BackendIds* ids_;
+  EndpointIds* ids_;
   OnList on_list_;
   OnFailed on_failed_;
   tcp::socket socket_;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -39,22 +39,22 @@
 // to a backend, and the answer.
 constexpr double kOwnMb = 8, kExchangeMb = 3.0 * (kMaxBody + kMaxHeader) / (1 << 20);
 
-size_t MostClients(const config::Config& config) {
+size_t MostClients(const config::GatewayConfig& config) {
   double by_sockets = (config.sockets - kOwnSockets) * kClientShare;
   double by_memory = (config.memory_mb - kOwnMb) / kExchangeMb;
   return static_cast<size_t>(std::max(1.0, std::min(by_sockets, by_memory)));
 }
 
-BackendList KnownList(const config::Config& config, BackendIds* ids) {
+EndpointList KnownList(const config::GatewayConfig& config, EndpointIds* ids) {
   if (config.known.is_null()) return {};
   try {
-    return ParseList(config.known, config.site, ids);
+    return ParseEndpointList(config.known, config.site, ids);
   } catch (const DiscoveryError& error) {
     throw config::ConfigError("known", std::string("setting is unreadable: known: ") + error.what());
   }
 }
 
-double LongestDeadline(const config::Config& config) {
+double LongestDeadline(const config::GatewayConfig& config) {
   double longest = 0;
   for (const auto& c : config.settings.classes) longest = std::max(longest, c.deadline_s);
   return longest;
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-ClientCall ReadCall(const ClientMessage& message, const config::Config& config) {
+ClientCall ReadCall(const ClientRequest& message, const config::GatewayConfig& config) {
   ClientCall call;
   call.status = 400;
   std::string_view target = View(message.target());
@@ -148,7 +148,7 @@
   return call;
 }
 
-Gateway::Gateway(asio::io_context& io, const config::Config& config)
+Gateway::Gateway(asio::io_context& io, const config::GatewayConfig& config)
     : io_(io),
       config_(config),
       epoch_s_(std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count() -
@@ -157,11 +157,11 @@
             static_cast<size_t>((config.sockets - kOwnSockets) * (1 - kClientShare))),
       server_(
           io, MostClients(config),
-          [this](uint64_t connection, ClientMessage m) { OnMessage(connection, std::move(m)); },
+          [this](uint64_t connection, ClientRequest m) { OnMessage(connection, std::move(m)); },
           [this](uint64_t connection, bool held) { OnClosed(connection, held); }),
       discovery_(
           io, config.discovery, config.site, &ids_,
-          [this](BackendList list) {
+          [this](EndpointList list) {
             OnList(list, list.full ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta);
             ready_ = true;
           },
@@ -182,7 +182,7 @@
                      });
     counter_->Start();
   }
-  BackendList known = KnownList(config, &ids_);
+  EndpointList known = KnownList(config, &ids_);
   balancer_.emplace(config.settings, config.seed, Now(), &actions_);
   known.told = Clock::now();
   OnList(known, EndpointUpdateKind::kCached);
@@ -216,14 +216,14 @@
 void Gateway::Act(const policy::CancelAttempt& action) { CancelAttempt(action); }
 
 void Gateway::Act(const policy::RejectRequest& action) {
-  Answer answer;
+  Response answer;
   answer.status = action.retry_after_s > 0 ? 429 : 503;
   answer.retry_after_s = action.retry_after_s;
   Finish(action.request_id, std::move(answer));
 }
 
 void Gateway::Act(const policy::FailRequest& action) {
-  Answer answer;
+  Response answer;
   answer.status = 502;
   Finish(action.request_id, std::move(answer));
 }
@@ -245,20 +245,20 @@
 
 void Gateway::Act(const policy::PollDiscovery&) { discovery_.Start(); }
 
-void Gateway::OnMessage(uint64_t connection, ClientMessage message) {
+void Gateway::OnMessage(uint64_t connection, ClientRequest message) {
   std::string_view target = View(message.target());
   if (target.substr(0, 3) == "/-/") {
-    Answer answer;
+    Response answer;
     answer.status = target == "/-/ready" ? (ready_ && !shutdown_at_ ? 200 : 503) : 404;
     return server_.Reply(connection, std::move(answer));
   }
   // Its client has gone, perhaps long before a busy loop got here: its end is read next.
-  if (server_.Gone(connection)) return;
+  if (server_.HasClientLeft(connection)) return;
   ClientCall call = ReadCall(message, config_);
   // Another request of this id is open, or an attempt of it is still out: two of one id would be mixed up.
   if (call.status == 0 && open_ids_.count(std::string(call.id)) != 0) call.status = 400;
   if (call.status != 0) {
-    Answer answer;
+    Response answer;
     answer.status = call.status;
     return server_.Reply(connection, std::move(answer));
   }
@@ -266,7 +266,7 @@
     call.timeout_s =
         std::min(call.timeout_s, std::chrono::duration<double>(LastAnswer() - Clock::now()).count());
     if (call.timeout_s <= 0) {
-      Answer answer;
+      Response answer;
       answer.status = 503;
       return server_.Reply(connection, std::move(answer));
     }
@@ -314,7 +314,7 @@
   double left = std::chrono::duration<double>(held.deadline - Clock::now()).count();
   double patience = action.timeout_s == 0 ? left : std::min(action.timeout_s, left);
   // Whatever the attempt waited for, its client is asked after before each.
-  bool gone = looked_ != id && server_.Gone(held.connection);
+  bool gone = looked_ != id && server_.HasClientLeft(held.connection);
   if (held.answered || gone || patience <= 0 || (two && !config_.settings.hedging_enabled) ||
       attempt >= config_.settings.max_attempts) {
     held.attempts.back().out = true;  // until the outcome is told
@@ -323,8 +323,8 @@
   held.attempts.back().out = true;
   held.attempts.back().number = pool_.Send(
       backend, [this, id](double left_s) { return BackendMessage(id, left_s); }, patience,
-      [this, id, attempt, backend](AttemptEnd end) { OnEnd(id, attempt, backend, std::move(end)); },
-      [this, connection = held.connection] { return !server_.Gone(connection); });
+      [this, id, attempt, backend](AttemptResult end) { OnEnd(id, attempt, backend, std::move(end)); },
+      [this, connection = held.connection] { return !server_.HasClientLeft(connection); });
 }
 
 std::string Gateway::BackendMessage(uint32_t id, double left_s) const {
@@ -353,7 +353,7 @@
 void Gateway::PostEnd(uint32_t id, int attempt, bool ran) {
   uint32_t backend = held_.at(id).attempts[static_cast<size_t>(attempt)].backend;
   asio::post(io_, [this, id, attempt, backend, ran] {
-    AttemptEnd end;
+    AttemptResult end;
     end.result = ran ? CallResult::kCancelled : CallResult::kNeverSent;
     OnEnd(id, attempt, backend, std::move(end));
   });
@@ -369,7 +369,7 @@
   }
 }
 
-void Gateway::OnEnd(uint32_t id, int attempt, uint32_t backend, AttemptEnd end) {
+void Gateway::OnEnd(uint32_t id, int attempt, uint32_t backend, AttemptResult end) {
   auto it = held_.find(id);
   if (it == held_.end()) return;
   Held& held = it->second;
@@ -377,14 +377,14 @@
   reporting_ = id;
   CallResult r = end.result;
   // So that the module tries nowhere else.
-  if (r == CallResult::kNeverSent && !held.answered && server_.Gone(held.connection))
-    server_.Drop(held.connection);
+  if (r == CallResult::kNeverSent && !held.answered && server_.HasClientLeft(held.connection))
+    server_.Close(held.connection);
   if (r != CallResult::kRejected && r != CallResult::kConnectFailed && r != CallResult::kNeverSent)
     held.may_have_run = true;
   // The first good answer goes to the client by itself and ends the request. Told to the module first would
   // be as good, but its client is waiting.
   if (r == CallResult::kOk && !held.answered) {
-    Answer answer;
+    Response answer;
     answer.status = 200;
     answer.headers = std::move(end.headers);
     answer.body = std::move(end.body);
@@ -394,7 +394,7 @@
   CheckShutdown();
 }
 
-void Gateway::Report(uint32_t id, int attempt, uint32_t backend, const AttemptEnd& end) {
+void Gateway::Report(uint32_t id, int attempt, uint32_t backend, const AttemptResult& end) {
   Held& held = held_.at(id);
   AttemptOutcome outcome;
   outcome.request_id = id;
@@ -412,7 +412,7 @@
 }
 
 // The request's only final answer. What is still out is kept in the books until its end is told.
-void Gateway::Finish(uint32_t id, Answer answer) {
+void Gateway::Finish(uint32_t id, Response answer) {
   auto it = held_.find(id);
   if (it == held_.end() || it->second.answered) return;
   Held& held = it->second;
@@ -437,7 +437,7 @@
   auto it = held_.find(id);
   if (it == held_.end() || it->second.answered) return;
   Held& held = it->second;
-  Answer answer;
+  Response answer;
   answer.status = held.free || (!held.may_have_run && !held.Out()) ? 503 : 504;
   Finish(id, std::move(answer));
   Tell([&](policy::AdmissionPolicy& b, double now, policy::Actions* out_) { b.OnClientGone(now, id, out_); });
@@ -455,10 +455,10 @@
   Forget(id);
 }
 
-void Gateway::OnList(const BackendList& list, EndpointUpdateKind kind) {
+void Gateway::OnList(const EndpointList& list, EndpointUpdateKind kind) {
   std::vector<policy::Endpoint> entries;
   std::vector<uint32_t> named;
-  for (const Listed& listed : list.entries) {
+  for (const ListedEndpoint& listed : list.entries) {
     entries.push_back(listed.backend);
     uint32_t id = listed.backend.id;
     switch (listed.backend.state) {
@@ -474,7 +474,7 @@
     }
     listed_ = std::move(named);
   } else {
-    for (const Listed& listed : list.entries) {
+    for (const ListedEndpoint& listed : list.entries) {
       auto at = std::find(listed_.begin(), listed_.end(), listed.backend.id);
       bool gone = listed.backend.state == policy::EndpointState::kRemoved;
       if (gone && at != listed_.end()) listed_.erase(at);
@@ -518,9 +518,9 @@
   });
 }
 
-void Gateway::Reload(const config::Config& fresh) {
+void Gateway::Reload(const config::GatewayConfig& fresh) {
   config::CheckSameGateway(config_, fresh);
-  BackendIds unused;
+  EndpointIds unused;
   KnownList(fresh, &unused);
   discovery_.Move(fresh.discovery);
   if (counter_ && fresh.has_counter) counter_->Move(fresh.counter);
@@ -529,7 +529,7 @@
 void Gateway::Shutdown() {
   if (shutdown_at_) return;
   shutdown_at_ = Clock::now();
-  server_.AskToClose();
+  server_.CloseAfterResponses();
   shutdown_timer_.expires_after(Seconds(kStillComingS));
   shutdown_timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
@@ -537,7 +537,7 @@
     shutdown_timer_.expires_at(LastAnswer());
     shutdown_timer_.async_wait([this](error_code stopped) {
       if (stopped) return;
-      server_.CloseUnfinished();
+      server_.CloseIncomplete();
       shutdown_timer_.expires_at(*shutdown_at_ + Seconds(LongestDeadline(config_) + kEndMarginS));
       shutdown_timer_.async_wait([this](error_code over) {
         if (!over) io_.stop();
@@ -557,7 +557,7 @@
 void Gateway::CheckShutdown() {
   if (!shutdown_at_ || Clock::now() < *shutdown_at_ + Seconds(kStillComingS)) return;
   server_.CloseIdle();
-  if (by_connection_.empty() && server_.Quiet()) io_.stop();
+  if (by_connection_.empty() && server_.HasNoConnections()) io_.stop();
 }
 
 }  // namespace gateway::net
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "config/gateway_config.h"
-#include "net/backend_pool.h"
+#include "net/backend_connection_pool.h"
 #include "net/client_server.h"
 #include "net/counter_client.h"
 #include "net/discovery_client.h"
@@ -29,11 +29,11 @@
   double timeout_s = 0;
   std::string_view id;  // in the message
 };
-ClientCall ReadCall(const ClientMessage& message, const config::Config& config);
+ClientCall ReadCall(const ClientRequest& message, const config::GatewayConfig& config);
 
 class Gateway {
  public:
-  Gateway(asio::io_context& io, const config::Config& config);
+  Gateway(asio::io_context& io, const config::GatewayConfig& config);
   ~Gateway();
 
   tcp::endpoint local() const { return server_.local(); }
@@ -42,7 +42,7 @@
   void Shutdown();
   // Moves to the discovery and counter that it names. Throws config::ConfigError, and changes nothing, where
   // it is not this gateway's.
-  void Reload(const config::Config& fresh);
+  void Reload(const config::GatewayConfig& fresh);
 
  private:
   struct Attempt {
@@ -86,26 +86,26 @@
   void CancelAttempt(const policy::CancelAttempt& action);
   void PostEnd(uint32_t id, int attempt, bool ran);
   void DropUnsent(uint32_t id);
-  void OnEnd(uint32_t id, int attempt, uint32_t backend, AttemptEnd end);
-  void Report(uint32_t id, int attempt, uint32_t backend, const AttemptEnd& end);
-  void Finish(uint32_t id, Answer answer);
+  void OnEnd(uint32_t id, int attempt, uint32_t backend, AttemptResult end);
+  void Report(uint32_t id, int attempt, uint32_t backend, const AttemptResult& end);
+  void Finish(uint32_t id, Response answer);
   void Forget(uint32_t id);
   void Guard(uint32_t id);
 
-  void OnMessage(uint64_t connection, ClientMessage message);
+  void OnMessage(uint64_t connection, ClientRequest message);
   void OnClosed(uint64_t connection, bool held);
-  void OnList(const BackendList& list, policy::EndpointUpdateKind kind);
+  void OnList(const EndpointList& list, policy::EndpointUpdateKind kind);
   void AddTimer(Clock::time_point at, Due due, uint64_t tag);
   void ArmTimers();
   void CheckShutdown();
   Clock::time_point LastAnswer() const;
 
   asio::io_context& io_;
-  const config::Config& config_;
+  const config::GatewayConfig& config_;
   const double epoch_s_;  // the system's clock at the monotonic clock's zero
-  BackendIds ids_;
+  EndpointIds ids_;
   std::vector<uint32_t> listed_;  // backends named by discovery and not gone
-  BackendPool pool_;
+  BackendConnectionPool pool_;
   ClientServer server_;
   std::optional<CounterClient> counter_;
   DiscoveryClient discovery_;
--- a/src/net/http.h
+++ b/src/net/http_util.h
@@ -1,6 +1,6 @@
 // What all HTTP connections of the gateway share: sizes, header copying, and one write a message.
-#ifndef GATEWAY_NET_HTTP_H_
-#define GATEWAY_NET_HTTP_H_
+#ifndef GATEWAY_NET_HTTP_UTIL_H_
+#define GATEWAY_NET_HTTP_UTIL_H_
 
 #include <algorithm>
 #include <boost/asio.hpp>
@@ -164,4 +164,4 @@
 
 }  // namespace gateway::net
 
-#endif  // GATEWAY_NET_HTTP_H_
+#endif  // GATEWAY_NET_HTTP_UTIL_H_
--- a/src/simulator/simulator_adapter.cpp
+++ b/src/simulator/simulator_adapter.cpp
@@ -105,7 +105,7 @@
   }
 
   std::array<std::optional<std::vector<policy::Endpoint>>, kEndpointTableCount> tables_;
-  const std::vector<policy::Endpoint> no_entries_;
+  const std::vector<policy::Endpoint> no_entries_{};
   std::map<uint32_t, std::unique_ptr<policy::AdmissionPolicy>> instances_;
   policy::Actions actions_;
   ReplyWriter reply_;
