--- /dev/null
+++ b/src/policy/counter_schedule.cpp
@@ -0,0 +1,156 @@
+#include "policy/counter_schedule.h"
+
+#include <algorithm>
+#include <string>
+
+#include "policy/random_source.h"
+
+namespace gateway::policy {
+namespace {
+
+constexpr int kSilentAfterFailures = 4;
+// Pause between two calls of a gateway while the counter is silent: at least the first, and so long that all
+// gateways together make no more than so many calls a second.
+constexpr double kMinSilentPauseS = 0.3;
+constexpr double kSilentCallsPerS = 100;
+// A reply slower than this share of the counter's time-out is a sign of congestion. On sockets it still comes
+// and is of use; on the simulator's wire a late call fails instead.
+constexpr double kSlowReplyShare = 1.5;
+// The congestion price grows and shrinks by these shares of itself: it is steady, at whatever level, where
+// one call in nine is slow or fails, just short of the most that the counter bears.
+constexpr double kCongestionGrowth = 0.4;
+constexpr double kCongestionDecay = 0.05;
+constexpr double kMaxCongestion = 1;
+constexpr double kCallsPerLookup = 1.5;
+// Share of requests that go unreported for each unit of a call's price, and the most.
+constexpr double kUnreportedPerPrice = 5;
+constexpr double kMaxUnreportedShare = 0.8;
+// A tenant whose total was never read is looked up by itself while fewer go unreported than this.
+constexpr double kLookupUnreportedShare = 0.5;
+// The counter may forget a key so many windows, or epochs, after the last call. Its own limit is a minute.
+constexpr double kUsageExpiryWindows = 3;
+constexpr double kPreviousUsageExpiryWindows = 2;
+constexpr double kConcurrencyExpiryEpochs = 2;
+constexpr double kMaxExpiryS = 60;
+constexpr double kLostStateLogIntervalS = 5;
+
+// The same at every gateway: keys come of tenant, kind and period alone.
+uint64_t CounterKey(const CounterSchedule::Call& call) {
+  bool usage = call.kind == CounterSchedule::Call::Kind::kUsage;
+  auto period = static_cast<uint64_t>(usage ? call.period : ~call.period);
+  return MixBits(call.tenant_id * 0x100000001b3ULL + MixBits(period));
+}
+
+}  // namespace
+
+bool CounterSchedule::IsSilent() const { return failures_in_a_row_ >= kSilentAfterFailures; }
+
+double CounterSchedule::LookupPrice() const {
+  return kCallsPerLookup * settings_.counter_call_price + CongestionPrice();
+}
+
+double CounterSchedule::UnreportedShare() const {
+  return std::min(kMaxUnreportedShare,
+                  kUnreportedPerPrice * (CongestionPrice() + settings_.counter_call_price));
+}
+
+double CounterSchedule::ReportingProbability(double ingress_gateways) const {
+  return 1 - UnreportedShare() * (1 - 1 / ingress_gateways);
+}
+
+void CounterSchedule::ReportUsage(Tenant* tenant, double now_s, Actions* actions) {
+  TenantQuota& quota = tenant->quota;
+  if (!settings_.counter_enabled || !quota.HasRateQuota()) return;
+  if (tenant->usage_call_pending || !MayCall(now_s)) return;
+  bool lookup = !quota.IsKnown() && UnreportedShare() < kLookupUnreportedShare;
+  if (!lookup && tenant->waiting.empty() && !quota.IsReportDue(now_s)) return;
+  Call call{Call::Kind::kUsage, tenant->id, quota.window(), quota.unreported_units(), now_s};
+  if (!StartCall(call, kUsageExpiryWindows * WindowSeconds(quota.plan()), actions)) return;
+  tenant->usage_call_pending = true;
+  quota.TakeUnreported();
+}
+
+void CounterSchedule::ReportConcurrency(Tenant* tenant, double now_s, Actions* actions) {
+  if (!settings_.counter_enabled || tenant->quota.plan().max_concurrent_attempts <= 0) return;
+  if (tenant->quota.HasSingleGateway() || tenant->concurrency_call_pending || !MayCall(now_s)) return;
+  int64_t epoch = tenant->concurrency.AdvanceEpoch(now_s);
+  double change = tenant->concurrency.unreported_change();
+  if (change == 0 && tenant->waiting.empty()) return;
+  Call call{Call::Kind::kConcurrency, tenant->id, epoch, change, now_s};
+  tenant->concurrency_call_pending =
+      StartCall(call, kConcurrencyExpiryEpochs * ConcurrencyQuota::kEpochS, actions);
+}
+
+bool CounterSchedule::StartCall(const Call& call, double expiry_s, Actions* actions) {
+  uint64_t key = CounterKey(call);
+  if (!pending_.try_emplace(key, call).second) return false;
+  double pause_share = IsSilent() ? 1 : CongestionPrice() * CongestionPrice();
+  next_call_s_ =
+      call.sent_s + pause_share * std::max(kMinSilentPauseS, settings_.gateway_count / kSilentCallsPerS);
+  actions->push_back(CallCounter{key, call.amount, std::min(kMaxExpiryS, expiry_s)});
+  return true;
+}
+
+std::optional<CounterSchedule::Call> CounterSchedule::TakePending(uint64_t key) {
+  auto it = pending_.find(key);
+  if (it == pending_.end()) return std::nullopt;
+  Call call = it->second;
+  pending_.erase(it);
+  return call;
+}
+
+void CounterSchedule::ApplyReply(const Call& call, const CounterReply& reply, Tenant* tenant, double now_s,
+                                 Actions* actions) {
+  bool usage = call.kind == Call::Kind::kUsage;
+  (usage ? tenant->usage_call_pending : tenant->concurrency_call_pending) = false;
+  UpdatePrice(call, reply.result, now_s, actions);
+  if (usage) return ApplyUsageReply(call, reply, tenant, now_s, actions);
+  bool may_have_been_added = reply.result == CallResult::kOk || reply.result == CallResult::kTimeout;
+  if (may_have_been_added) tenant->concurrency.ApplyReported(call.period, call.amount);
+  if (reply.result == CallResult::kOk) tenant->concurrency.ApplyTotal(call.period, reply.total, now_s);
+}
+
+// Guards against a counter that is overloaded, or gone: each failure makes calls dearer and so rarer,
+// whatever its reason, and they come back reply by reply, without a flood when it returns.
+void CounterSchedule::UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions) {
+  bool was_silent = IsSilent();
+  bool ok = result == CallResult::kOk;
+  bool quick = ok && now_s - call.sent_s < kSlowReplyShare * settings_.counter_timeout_s;
+  failures_in_a_row_ = ok ? 0 : failures_in_a_row_ + 1;
+  double factor = quick ? 1 - kCongestionDecay : 1 + kCongestionGrowth;
+  congestion_ = std::clamp(congestion_ * factor, kMinCongestion, kMaxCongestion);
+  if (was_silent && !IsSilent()) actions->push_back(LogEvent{"counter_recovered"});
+  if (!was_silent && IsSilent()) {
+    actions->push_back(LogEvent{"counter_silent failures=" + std::to_string(failures_in_a_row_)});
+  }
+}
+
+void CounterSchedule::ApplyUsageReply(const Call& call, const CounterReply& reply, Tenant* tenant,
+                                      double now_s, Actions* actions) {
+  TenantQuota& quota = tenant->quota;
+  if (reply.result != CallResult::kOk) {
+    // After a time-out the units may have been added: reporting them again could count them twice.
+    if (reply.result != CallResult::kTimeout) quota.RestoreUnreported(call.amount);
+    return;
+  }
+  if (call.period == quota.window()) {
+    auto total = quota.ApplyTotal(call.amount, reply.total, now_s, settings_.max_request_units);
+    if (total.counter_lost_state) LogLostState(*tenant, now_s, actions);
+    double loss_at_risk = (1 - tenant->within_quota_share) * OverQuotaLoss(quota.plan());
+    if (total.first_of_unknown_window && loss_at_risk > LookupPrice()) {
+      Call previous{Call::Kind::kUsage, tenant->id, quota.window() - 1, 0, now_s};
+      tenant->usage_call_pending =
+          StartCall(previous, kPreviousUsageExpiryWindows * WindowSeconds(quota.plan()), actions);
+    }
+  }
+  if (call.period + 1 == quota.window() && call.amount == 0) quota.ApplyPreviousTotal(reply.total);
+}
+
+void CounterSchedule::LogLostState(const Tenant& tenant, double now_s, Actions* actions) {
+  if (now_s - lost_state_logged_s_ > kLostStateLogIntervalS) {
+    actions->push_back(LogEvent{"counter_lost_state tenant=" + std::to_string(tenant.id)});
+  }
+  lost_state_logged_s_ = now_s;
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/counter_schedule.h
@@ -0,0 +1,85 @@
+// Which calls to the counter service are made, what one is worth, and what happens while it is silent.
+#ifndef GATEWAY_POLICY_COUNTER_SCHEDULE_H_
+#define GATEWAY_POLICY_COUNTER_SCHEDULE_H_
+
+#include <cstdint>
+#include <optional>
+#include <unordered_map>
+
+#include "policy/actions.h"
+#include "policy/events.h"
+#include "policy/settings.h"
+#include "policy/tenant.h"
+
+namespace gateway::policy {
+
+// Rule: a call is made where it is due and worth its price. The price is the settings' price of a call plus a
+// congestion price, which grows with each failed or slow call and shrinks with each quick one, so that all
+// gateways together call as often as the counter bears. After kSilentAfterFailures failures in a row the
+// counter counts as silent: quotas fall back to this gateway's part (TenantQuota), and only single calls, far
+// apart, look whether it answers again.
+//
+// Invariants: at most one call of each kind is pending for a tenant, and one for each counter key; every call
+// made gets one reply.
+class CounterSchedule {
+ public:
+  // A call that is pending.
+  struct Call {
+    enum class Kind { kUsage, kConcurrency };
+    Kind kind = Kind::kUsage;
+    uint64_t tenant_id = 0;
+    int64_t period = 0;  // window of a usage call, epoch of a concurrency call
+    double amount = 0;   // added to the counter's total
+    double sent_s = 0;
+  };
+
+  // `settings` must outlive this.
+  explicit CounterSchedule(const Settings& settings) : settings_(settings) {}
+
+  bool IsSilent() const;
+  // Whether the pause after the last call is over. It is none while the counter keeps up.
+  bool MayCall(double now_s) const { return now_s >= next_call_s_; }
+
+  // Price of learning a tenant's total: the call that asks, and at times one that corrects it.
+  double LookupPrice() const;
+
+  // Factor by which a request admitted without a lookup is reported: some are not reported at all, and the
+  // others stand for them. Otherwise a tenant that each of many gateways sees once would take a call at each,
+  // or never be reported. Returns the probability that this one is.
+  double ReportingProbability(double ingress_gateways) const;
+
+  // Makes the calls that are due for the tenant, if any.
+  void ReportUsage(Tenant* tenant, double now_s, Actions* actions);
+  void ReportConcurrency(Tenant* tenant, double now_s, Actions* actions);
+
+  // Ends the pending call of this key; none where there is no such call.
+  std::optional<Call> TakePending(uint64_t key);
+  // Applies the reply of a call taken before to price, silence and the tenant's quotas.
+  void ApplyReply(const Call& call, const CounterReply& reply, Tenant* tenant, double now_s,
+                  Actions* actions);
+
+ private:
+  // The congestion price starts from this level, which itself counts as no price.
+  static constexpr double kMinCongestion = 0.01;
+
+  // In requests of full value, as every price here.
+  double CongestionPrice() const { return congestion_ - kMinCongestion; }
+  double UnreportedShare() const;
+  // False where a call of the same key is pending.
+  bool StartCall(const Call& call, double expiry_s, Actions* actions);
+  void UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions);
+  void ApplyUsageReply(const Call& call, const CounterReply& reply, Tenant* tenant, double now_s,
+                       Actions* actions);
+  void LogLostState(const Tenant& tenant, double now_s, Actions* actions);
+
+  const Settings& settings_;
+  std::unordered_map<uint64_t, Call> pending_;  // by counter key
+  double next_call_s_ = 0;
+  double congestion_ = kMinCongestion;
+  int failures_in_a_row_ = 0;
+  double lost_state_logged_s_ = -1e9;
+};
+
+}  // namespace gateway::policy
+
+#endif  // GATEWAY_POLICY_COUNTER_SCHEDULE_H_
--- /dev/null
+++ b/src/policy/endpoint_set.cpp
@@ -0,0 +1,41 @@
+#include "policy/endpoint_set.h"
+
+namespace gateway::policy {
+
+void EndpointSet::ApplyUpdate(EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints, double now_s,
+                              SlowStart* slow_start) {
+  if (kind != EndpointUpdateKind::kDelta) {
+    for (Backend& backend : backends_) backend.endpoint.state = EndpointState::kRemoved;
+  }
+  for (const Endpoint& endpoint : endpoints) ApplyEndpoint(endpoint, now_s, slow_start);
+  std::erase_if(backends_, [](const Backend& backend) {
+    return backend.endpoint.state == EndpointState::kRemoved && backend.attempts_in_flight == 0;
+  });
+}
+
+void EndpointSet::ApplyEndpoint(const Endpoint& endpoint, double now_s, SlowStart* slow_start) {
+  Backend* backend = Find(endpoint.id);
+  if (backend == nullptr) {
+    if (endpoint.state == EndpointState::kRemoved) return;
+    backend = &backends_.emplace_back();
+    backend->last_response_s = now_s;
+  }
+  bool restarted = endpoint.started_s > 0 && endpoint.started_s != backend->endpoint.started_s;
+  backend->endpoint = endpoint;
+  if (restarted && slow_start->BeginAfterRestart(&backend->warm_up, endpoint.started_s, now_s)) {
+    backend->outlier.RecordRestart();
+  }
+}
+
+EndpointSet::Load EndpointSet::ReadyLoad() const {
+  Load load;
+  for (const Backend& backend : backends_) {
+    if (!backend.IsReady()) continue;
+    double limit = backend.limiter.limit();
+    load.in_flight += std::min<double>(backend.attempts_in_flight, std::max(1.0, limit));
+    load.limit += limit;
+  }
+  return load;
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/load_shedder.cpp
@@ -0,0 +1,98 @@
+#include "policy/load_shedder.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace gateway::policy {
+namespace {
+
+// Part of the concurrency limits that a class of next to no value may use.
+constexpr double kMinLimitShare = 0.3;
+// Of its part, what a request beyond the quota may use.
+constexpr double kBorrowedLimitShare = 0.5;
+// Exponent on the admitted share for a request beyond the quota.
+constexpr double kBorrowedExponent = 2;
+
+constexpr double kMinAdmittedShare = 0.05;  // so that answers go on telling
+// An answer that is off the latency target by its own amount changes the admitted share by this share of
+// itself, or by more where answers are rare: then by all of itself in kAdjustmentS.
+constexpr double kMinAdjustment = 0.02;
+constexpr double kAdjustmentS = 0.8;
+constexpr double kMaxAdjustmentSpanS = 1;
+constexpr double kMaxRelativeError = 2;
+constexpr double kRecoveryPerS = 0.05;
+
+// Latency shares that stand for outcomes without a latency.
+constexpr double kRejectionLatencyShare = 1;
+constexpr double kDeadlineLatencyShare = 2;
+
+}  // namespace
+
+LoadShedder::LoadShedder(const Settings& settings, const ServiceEstimator& estimator, RandomSource* random)
+    : settings_(settings),
+      estimator_(estimator),
+      random_(*random),
+      max_time_left_s_(settings.classes.size(), 0) {}
+
+void LoadShedder::RecordArrival(const Request& request) {
+  double& max_time_left_s = max_time_left_s_[static_cast<size_t>(request.request_class)];
+  max_time_left_s = std::max(max_time_left_s, request.time_left_s);
+}
+
+void LoadShedder::RecordAttemptEnded(double now_s) {
+  --attempts_in_flight_;
+  last_outcome_s_ = now_s;
+}
+
+void LoadShedder::RecordLatency(double latency_share, double now_s) {
+  double span_s = std::min(kMaxAdjustmentSpanS, now_s - latency_recorded_s_);
+  double step = std::max(kMinAdjustment, span_s / kAdjustmentS);
+  double error = latency_share / ConcurrencyLimiter::kQueueLatencyShare - 1;
+  admitted_share_ *= std::exp(-step * std::clamp(error, -1.0, kMaxRelativeError));
+  admitted_share_ = std::max(admitted_share_, kMinAdmittedShare);
+  latency_recorded_s_ = now_s;
+  Recover(now_s);
+}
+
+void LoadShedder::RecordRejection(double now_s) { RecordLatency(kRejectionLatencyShare, now_s); }
+
+void LoadShedder::RecordDeadlineExceeded(double now_s) { RecordLatency(kDeadlineLatencyShare, now_s); }
+
+void LoadShedder::Recover(double now_s) {
+  admitted_share_ = std::min(1.0, admitted_share_ + kRecoveryPerS * (now_s - recovered_s_));
+  recovered_s_ = now_s;
+}
+
+double LoadShedder::RelativeValue(const Request& request) const {
+  double most = 0;
+  for (size_t i = 0; i < settings_.classes.size(); ++i) {
+    most =
+        std::max(most, settings_.classes[i].priority_weight / estimator_.MeanLatencyS(static_cast<int>(i)));
+  }
+  const ClassSettings& request_class = settings_.classes[static_cast<size_t>(request.request_class)];
+  double value = request_class.priority_weight / estimator_.MeanLatencyS(request.request_class);
+  double relative = most > 0 ? value / most : 1;
+  return IsLateRetry(request) ? relative * request_class.late_value_share : relative;
+}
+
+bool LoadShedder::IsLateRetry(const Request& request) const {
+  auto index = static_cast<size_t>(request.request_class);
+  const ClassSettings& request_class = settings_.classes[index];
+  bool is_retry = request.time_left_s < max_time_left_s_[index] - settings_.timer_resolution_s;
+  return is_retry && request_class.deadline_s - request.time_left_s > request_class.latency_objective_s;
+}
+
+bool LoadShedder::ShouldShed(const Request& request, bool borrowed, const EndpointSet& endpoints,
+                             double now_s) {
+  Recover(now_s);
+  const ClassSettings& request_class = settings_.classes[static_cast<size_t>(request.request_class)];
+  bool idle = attempts_in_flight_ == 0 && now_s - last_outcome_s_ > request_class.latency_objective_s;
+  if (idle && !borrowed) return false;
+  double limit_share = kMinLimitShare + (1 - kMinLimitShare) * RelativeValue(request);
+  double exponent = (borrowed ? kBorrowedExponent : 1) / limit_share;
+  if (random_.Uniform() > std::pow(admitted_share_, exponent)) return true;
+  EndpointSet::Load load = endpoints.ReadyLoad();
+  return load.in_flight >= load.limit * limit_share * (borrowed ? kBorrowedLimitShare : 1);
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/outcome_feedback.cpp
@@ -0,0 +1,86 @@
+#include "policy/outcome_feedback.h"
+
+#include <algorithm>
+#include <string>
+
+namespace gateway::policy {
+namespace {
+
+// Weight of one answer in its backend's relative latency, and the most that one counts.
+constexpr double kRelativeLatencyWeight = 0.05;
+constexpr double kMaxRelativeLatency = 5;
+
+bool IsAnswer(CallResult result) {
+  return result == CallResult::kOk || result == CallResult::kRejected || result == CallResult::kError;
+}
+
+std::string BackendField(const Backend& backend) { return " backend=" + std::to_string(backend.endpoint.id); }
+
+}  // namespace
+
+void OutcomeFeedback::Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
+                             const AttemptOutcome& outcome, double now_s, Actions* actions) {
+  bool silent = backend->IsSilentSince(attempt.sent_s);
+  if (IsAnswer(outcome.result)) backend->last_response_s = now_s;
+  switch (outcome.result) {
+    case CallResult::kOk: {
+      double cost_units =
+          outcome.actual_cost_units > 0 ? outcome.actual_cost_units : request.request.cost_units;
+      RecordResponse(backend, request.request, cost_units, now_s - attempt.sent_s, now_s, actions);
+      break;
+    }
+    case CallResult::kError: RecordFailure(backend, now_s, actions); break;
+    case CallResult::kTimeout:
+      if (silent) {
+        RecordFailure(backend, now_s, actions);
+      } else {
+        RecordRejection(backend, now_s);
+      }
+      break;
+    case CallResult::kRejected: RecordRejection(backend, now_s); break;
+    case CallResult::kConnectFailed:
+    case CallResult::kReset: RecordConnectionFailure(backend, now_s, actions); break;
+    case CallResult::kCancelled:
+      if (!request.finished && backend->attempts_in_flight > 0 && silent) {
+        RecordFailure(backend, now_s, actions);
+      }
+      break;
+    case CallResult::kNeverSent: break;
+  }
+}
+
+void OutcomeFeedback::RecordResponse(Backend* backend, const Request& request, double cost_units,
+                                     double latency_s, double now_s, Actions* actions) {
+  // Only warmed-up backends count: what others are sent and reject tells nothing of what a warm one can do.
+  if (!backend->warm_up.IsActive()) slow_start_.RecordWarmResponse(request, now_s);
+  if (backend->outlier.RecordSuccess()) {
+    actions->push_back(LogEvent{"backend_returned" + BackendField(*backend)});
+  }
+  ServiceEstimator::Sample sample = estimator_.RecordResponse(request.request_class, cost_units, latency_s);
+  double relative_latency = std::min(sample.relative_latency, kMaxRelativeLatency);
+  backend->relative_latency += kRelativeLatencyWeight * (relative_latency - backend->relative_latency);
+  double objective_s = settings_.classes[static_cast<size_t>(request.request_class)].latency_objective_s;
+  double latency_share = sample.cost_adjusted_s / objective_s;
+  load_shedder_.RecordLatency(latency_share, now_s);
+  if (latency_s > objective_s) demand_share_.RecordPressure(now_s);
+  backend->limiter.RecordResponse(latency_share, backend->attempts_in_flight, now_s);
+}
+
+void OutcomeFeedback::RecordRejection(Backend* backend, double now_s) {
+  load_shedder_.RecordRejection(now_s);
+  demand_share_.RecordPressure(now_s);
+  backend->limiter.RecordRejection(backend->attempts_in_flight, now_s);
+}
+
+void OutcomeFeedback::RecordConnectionFailure(Backend* backend, double now_s, Actions* actions) {
+  slow_start_.BeginIfUnreachable(&backend->warm_up, backend->last_response_s, now_s);
+  RecordFailure(backend, now_s, actions);
+}
+
+void OutcomeFeedback::RecordFailure(Backend* backend, double now_s, Actions* actions) {
+  if (!backend->outlier.RecordFailure(now_s)) return;
+  actions->push_back(LogEvent{"backend_ejected" + BackendField(*backend) +
+                              " ejection_s=" + std::to_string(backend->outlier.ejection_s())});
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/outlier_detector.cpp
@@ -0,0 +1,36 @@
+#include "policy/outlier_detector.h"
+
+#include <algorithm>
+
+namespace gateway::policy {
+namespace {
+
+// Weight of one answer in the failure rate; a failure has twice that.
+constexpr double kSampleWeight = 0.1;
+constexpr double kEjectionThreshold = 0.48;
+constexpr double kMinEjectionS = 0.5;
+constexpr double kMaxEjectionS = 4.0;
+// Failure rate under which the next ejection starts from the shortest again.
+constexpr double kHealthyRate = 0.1;
+
+}  // namespace
+
+bool OutlierDetector::RecordFailure(double now_s) {
+  failure_rate_ += kSampleWeight * 2 * (1 - failure_rate_);
+  if (IsEjected(now_s)) return false;
+  if (!on_probation_ && failure_rate_ <= kEjectionThreshold) return false;
+  ejection_s_ = std::clamp(ejection_s_ * 2, kMinEjectionS, kMaxEjectionS);
+  ejected_until_s_ = now_s + ejection_s_;
+  on_probation_ = true;
+  return true;
+}
+
+bool OutlierDetector::RecordSuccess() {
+  failure_rate_ -= kSampleWeight * failure_rate_;
+  if (failure_rate_ < kHealthyRate) ejection_s_ = 0;
+  bool returned = on_probation_;
+  on_probation_ = false;
+  return returned;
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/quota_check.cpp
@@ -0,0 +1,92 @@
+#include "policy/quota_check.h"
+
+#include <algorithm>
+
+namespace gateway::policy {
+namespace {
+
+// A request with less time left than so many counter time-outs is not made to wait for the counter.
+constexpr double kMinTimeLeftTimeouts = 4;
+// Requests are looked up where the gain is worth the price, times a random factor from this up to one more,
+// so that gateways which see the same do not all ask at once.
+constexpr double kMinGainFactor = 0.5;
+// Share of the quota's rate, asked for through all gateways, up to which the prior holds as it is.
+constexpr double kPriorDemandShare = 0.5;
+
+// Admitting pays off where the expected value is at least the expected loss.
+bool IsWorthAdmitting(double probability_within, double loss) {
+  return probability_within * (1 + loss) >= loss;
+}
+
+}  // namespace
+
+QuotaAssessment QuotaCheck::Assess(Tenant* tenant, const Request& request, double now_s) {
+  TenantQuota& quota = tenant->quota;
+  const PlanSettings& plan = quota.plan();
+  quota.Refill(now_s, counter_.IsSilent());
+  demand_share_.RecordDemand(&tenant->borrowed, request.cost_units, quota.tokens(), plan.burst_units, now_s);
+  if (!quota.CeilingAllows(request.cost_units)) return {};
+  double loss = OverQuotaLoss(plan);
+  double concurrency_probability = 1;
+  if (plan.max_concurrent_attempts > 0) {
+    concurrency_probability = tenant->concurrency.ProbabilityOfRoom(
+        plan.max_concurrent_attempts, estimator_.MeanLatencyS(request.request_class), now_s);
+    if (!quota.HasRateQuota()) return AssessConcurrency(*tenant, concurrency_probability, now_s);
+  }
+  double prior = PriorWithinQuota(*tenant, request, now_s);
+  bool within = quota.HasRoom(request.cost_units, now_s) && IsWorthAdmitting(concurrency_probability, loss);
+  if (!quota.IsKnown() && !quota.HasSingleGateway() && prior * (1 + loss) < loss) within = false;
+  QuotaAssessment assessment;
+  assessment.probability_within = quota.ProbabilityOfRoom(request.cost_units, now_s, prior,
+                                                          settings_.max_request_units, counter_.IsSilent()) *
+                                  std::min(1.0, concurrency_probability);
+  if (within) {
+    assessment.decision = QuotaDecision::kWithinQuota;
+  } else if (AllowsBorrowing(plan) && quota.tokens() + tenant->borrowed.units() >= request.cost_units &&
+             !demand_share_.IsUnderPressure(now_s)) {
+    assessment.decision = QuotaDecision::kBorrowed;
+  }
+  return assessment;
+}
+
+QuotaAssessment QuotaCheck::AssessConcurrency(const Tenant& tenant, double probability_of_room,
+                                              double now_s) {
+  const PlanSettings& plan = tenant.quota.plan();
+  QuotaAssessment assessment;
+  assessment.probability_within = tenant.concurrency.ProbabilityWithinCap(
+      plan.max_concurrent_attempts, probability_of_room, tenant.within_quota_share,
+      !tenant.quota.HasSingleGateway(), counter_.IsSilent(), now_s);
+  if (IsWorthAdmitting(assessment.probability_within, OverQuotaLoss(plan))) {
+    assessment.decision = QuotaDecision::kWithinQuota;
+  } else if (AllowsBorrowing(plan) && !demand_share_.IsUnderPressure(now_s)) {
+    assessment.decision = QuotaDecision::kBorrowed;
+  }
+  return assessment;
+}
+
+double QuotaCheck::PriorWithinQuota(const Tenant& tenant, const Request& request, double now_s) const {
+  const TenantQuota& quota = tenant.quota;
+  // What the tenant asks for here, taken to be the same at each of its ingress gateways.
+  double demand_units_per_s = (tenant.requested_units - request.cost_units) * quota.ingress_gateways() /
+                              (now_s - quota.created_s() + TenantTable::kMinIdleS);
+  double excess = 0;
+  if (!counter_.IsSilent()) {
+    excess = std::max(0.0, demand_units_per_s / quota.plan().rate_units_per_s - kPriorDemandShare);
+  }
+  return tenant.within_quota_share / (1 + excess);
+}
+
+bool QuotaCheck::IsLookupWorthwhile(const Tenant& tenant, const Request& request,
+                                    const QuotaAssessment& assessment, double now_s) {
+  const PlanSettings& plan = tenant.quota.plan();
+  if (!settings_.counter_enabled || AllowsBorrowing(plan) || tenant.quota.HasSingleGateway()) return false;
+  if (request.time_left_s < kMinTimeLeftTimeouts * settings_.counter_timeout_s) return false;
+  bool admitted = assessment.decision != QuotaDecision::kOverQuota;
+  double probability = assessment.probability_within;
+  double gain = (admitted ? (1 - probability) * OverQuotaLoss(plan) : probability) *
+                (kMinGainFactor + random_.Uniform());
+  if (gain < counter_.LookupPrice()) return false;
+  return counter_.MayCall(now_s) || tenant.HasCallPending();
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/tenant.cpp
@@ -0,0 +1,89 @@
+#include "policy/tenant.h"
+
+#include <algorithm>
+
+namespace gateway::policy {
+namespace {
+
+constexpr double kMinIdleWindows = 3;
+constexpr double kIdleCheckIntervalS = TenantTable::kMinIdleS / 10;
+// Share of the requests that wait for the counter taken to be within the quota, until replies tell.
+constexpr double kInitialWithinQuotaShare = 0.7;
+// Weight of one request in that share, of its plan and of its tenant.
+constexpr double kPlanShareWeight = 0.05;
+constexpr double kTenantShareWeight = 0.3;
+
+// After which quota and ceiling are full again.
+double IdleTimeoutS(const PlanSettings& plan) {
+  double idle_s = TenantTable::kMinIdleS;
+  if (plan.rate_units_per_s > 0) idle_s = std::max(idle_s, kMinIdleWindows * WindowSeconds(plan));
+  if (plan.ceiling_rate_units_per_s > 0) {
+    double refill_s =
+        2 * (plan.ceiling_burst_units + plan.ceiling_slack_units) / plan.ceiling_rate_units_per_s;
+    idle_s = std::max(idle_s, refill_s);
+  }
+  return idle_s;
+}
+
+}  // namespace
+
+void Tenant::Reserve(double cost_units) {
+  if (quota.HasRateQuota()) {
+    quota.Charge(cost_units);
+  } else {
+    concurrency.Reserve();
+  }
+}
+
+void Tenant::ReleaseReservation(double cost_units) {
+  if (quota.HasRateQuota()) {
+    quota.Charge(-cost_units);
+  } else {
+    concurrency.ReleaseReservation();
+  }
+}
+
+TenantTable::TenantTable(const Settings& settings, double gateway_started_s)
+    : settings_(settings),
+      gateway_started_s_(gateway_started_s),
+      within_quota_share_(settings.plans.size(), kInitialWithinQuotaShare) {}
+
+Tenant& TenantTable::RecordRequest(const Request& request, double now_s) {
+  auto it = tenants_.find(request.tenant);
+  if (it == tenants_.end()) {
+    auto plan = static_cast<size_t>(request.plan);
+    double max_gateways = std::max(1, settings_.gateway_count);
+    double ingress_gateways = std::clamp(request.ingress_gateways, 1.0, max_gateways);
+    TenantQuota quota(settings_.plans[plan], ingress_gateways, gateway_started_s_, now_s);
+    Tenant tenant(request.tenant, request.plan, quota, within_quota_share_[plan]);
+    it = tenants_.emplace(request.tenant, std::move(tenant)).first;
+  }
+  Tenant& tenant = it->second;
+  tenant.last_request_s = now_s;
+  tenant.requested_units += request.cost_units;
+  return tenant;
+}
+
+Tenant* TenantTable::Find(uint64_t tenant_id) {
+  auto it = tenants_.find(tenant_id);
+  return it == tenants_.end() ? nullptr : &it->second;
+}
+
+void TenantTable::RemoveIdle(double now_s) {
+  if (now_s - checked_s_ < kIdleCheckIntervalS) return;
+  checked_s_ = now_s;
+  std::erase_if(tenants_, [now_s](const auto& entry) {
+    const Tenant& tenant = entry.second;
+    bool idle = now_s > tenant.last_request_s + IdleTimeoutS(tenant.quota.plan());
+    return idle && !tenant.HasCallPending() && tenant.concurrency.attempts_in_flight() == 0;
+  });
+}
+
+void TenantTable::RecordWaitingResult(Tenant* tenant, bool within_quota) {
+  double result = within_quota ? 1 : 0;
+  double& plan_share = within_quota_share_[static_cast<size_t>(tenant->plan_index)];
+  plan_share += kPlanShareWeight * (result - plan_share);
+  tenant->within_quota_share += kTenantShareWeight * (result - tenant->within_quota_share);
+}
+
+}  // namespace gateway::policy
--- /dev/null
+++ b/src/policy/tenant_quota.h
@@ -0,0 +1,117 @@
+// One tenant's rate quota, held at this gateway on behalf of the fleet.
+#ifndef GATEWAY_POLICY_TENANT_QUOTA_H_
+#define GATEWAY_POLICY_TENANT_QUOTA_H_
+
+#include <cstdint>
+
+#include "policy/settings.h"
+#include "policy/token_bucket.h"
+
+namespace gateway::policy {
+
+// What a request beyond the quota costs over what it earns, as a share of its value.
+inline double OverQuotaLoss(const PlanSettings& plan) {
+  return plan.over_quota_penalty - plan.excess_value_share;
+}
+
+// Whether requests beyond the quota still earn more than they cost, so that spare capacity may be borrowed.
+inline bool AllowsBorrowing(const PlanSettings& plan) {
+  return plan.excess_value_share > plan.over_quota_penalty;
+}
+
+// Length of one counter window: the time in which the rate refills the burst.
+inline double WindowSeconds(const PlanSettings& plan) { return plan.burst_units / plan.rate_units_per_s; }
+
+// Rule: within each window, all gateways together forward at most the store S that the window began with plus
+// rate x window (DESIGN). S starts at the burst; each window S = clip(S + rate x window - used, 0, burst).
+//
+// Invariants: tokens never exceed the burst; `used` is burst - S plus all units of this window that are known
+// here; units charged here are reported to the counter exactly once, or kept in `unreported_units`.
+//
+// Where the counter has not answered yet, or no longer does, the other gateways are taken to go on as last
+// known, so this gateway stays within its own part of the quota.
+class TenantQuota {
+ public:
+  // What a counter total has shown.
+  struct TotalResult {
+    bool counter_lost_state = false;       // the total fell: nothing else was learnt from it
+    bool first_of_unknown_window = false;  // ours is the first report, and the window before is not known
+  };
+
+  // `ingress_gateways`: gateways through which the tenant may come, at least 1. The plan must outlive this.
+  TenantQuota(const PlanSettings& plan, double ingress_gateways, double gateway_started_s, double now_s);
+
+  const PlanSettings& plan() const { return *plan_; }
+  double ingress_gateways() const { return ingress_gateways_; }
+  double created_s() const { return created_s_; }
+  bool HasRateQuota() const { return plan_->rate_units_per_s > 0; }
+  bool HasSingleGateway() const { return ingress_gateways_ < 2; }
+  double tokens() const { return bucket_.tokens(); }
+  double unreported_units() const { return unreported_units_; }
+  int64_t window() const { return window_; }
+  // Whether a total of this window, or of one right before, has been read.
+  bool IsKnown() const { return known_; }
+
+  // Brings buckets and window up to now. Every other call expects that it has been called for its clock.
+  void Refill(double now_s, bool counter_is_silent);
+
+  // Whether tokens, window and, before the first counter reply, this gateway's part cover `units`.
+  bool HasRoom(double units, double now_s) const;
+
+  // Probability in [0, 1] that the fleet-wide quota covers `units`: the totals last read count less with age,
+  // `prior` (the share of such requests that proved to be within the quota) counts more.
+  double ProbabilityOfRoom(double units, double now_s, double prior, double max_request_units,
+                           bool counter_is_silent) const;
+
+  // The ceiling is a hard limit on top of the quota, split evenly among the ingress gateways.
+  bool CeilingAllows(double units) const {
+    return plan_->ceiling_rate_units_per_s <= 0 || ceiling_.tokens() >= units;
+  }
+  void ChargeCeiling(double units);
+
+  // Takes `units` for a forwarded request; negative units are given back.
+  void Charge(double units);
+
+  // Lets `units` of a charged request stand for more or fewer in the next report (counter_schedule.h).
+  void AdjustUnreported(double units) { unreported_units_ += units; }
+
+  // Whether the units not yet reported are many enough, or old enough, for a call.
+  bool IsReportDue(double now_s) const;
+  // Returns the units to report, which count as reported from now on.
+  double TakeUnreported();
+  // A report that surely was not added: its units are due again.
+  void RestoreUnreported(double units) { unreported_units_ += units; }
+
+  // A total of the current window, read with a report of `reported_units` included.
+  TotalResult ApplyTotal(double reported_units, double total, double now_s, double max_request_units);
+  // The total of the window before: what it was overspent by is taken off this one.
+  void ApplyPreviousTotal(double total);
+
+ private:
+  int64_t WindowAt(double now_s) const;
+  double CeilingCapacity() const;
+  void StartWindow(int64_t window, bool counter_is_silent);
+  double AssumedOthersRate(bool counter_is_silent) const;
+  void UpdateRates(double reported_units, double others_units, double elapsed_s, double in_window_s);
+
+  const PlanSettings* plan_;
+  double ingress_gateways_;
+  double created_s_;
+  double refilled_s_;
+  TokenBucket bucket_;                  // own charges and what the counter tells of others are taken off
+  TokenBucket ceiling_;                 // this gateway's part
+  double others_rate_units_per_s_ = 0;  // forwarded by the other gateways, as last known
+  double own_rate_units_per_s_ = 0;     // forwarded by this one
+  int64_t window_ = 0;
+  double carried_units_ = 0;        // burst - S at the window's start, as known here
+  double used_units_ = 0;           // burst - S, plus what this window has used
+  double last_total_ = 0;           // read in this window
+  double total_read_s_ = 0;         // clock of that
+  double unreported_units_ = 0;     // charged here and not yet told to the counter
+  double unknown_spent_units_ = 0;  // charged before the first reply
+  bool known_ = false;
+};
+
+}  // namespace gateway::policy
+
+#endif  // GATEWAY_POLICY_TENANT_QUOTA_H_
