--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -131,7 +131,7 @@
       return GiveUp(&request, actions);
     }
     if (!request.IsWaitingForCounter()) CheckSilentAttempt(&request, now_s, actions);
-    StartCheckTimer(request, now_s, actions);
+    StartCheckTimer(request, LastBackend(request), now_s, actions);
   }
 
   void OnCounterReply(double now_s, const CounterReply& reply, Actions* actions) {
@@ -195,8 +195,8 @@
     }
     bool reserve = assessment.probability_within >= kReserveProbability;
     if (reserve) tenant->Reserve(request.cost_units);
-    in_flight_[request.id] = std::move(arrived);
-    StartCheckTimer(in_flight_[request.id], now_s, actions);
+    const InFlightRequest& waiting = in_flight_[request.id] = std::move(arrived);
+    StartCheckTimer(waiting, nullptr, now_s, actions);
     tenant->waiting.push_back({request.id, request.cost_units, reserve});
     counter_.ReportUsage(tenant, now_s, actions);
     if (!tenant->quota.HasRateQuota()) counter_.ReportConcurrency(tenant, now_s, actions);
@@ -255,7 +255,7 @@
   void Admit(InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
     retry_policy_.RecordAdmission();
     Forward(request, backend, now_s, actions);
-    StartCheckTimer(*request, now_s, actions);
+    StartCheckTimer(*request, backend, now_s, actions);
   }
 
   void Forward(InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
@@ -272,8 +272,10 @@
     actions->push_back(ForwardAttempt{request->request.id, backend->endpoint.id, timeout_s});
   }
 
-  void StartCheckTimer(const InFlightRequest& request, double now_s, Actions* actions) {
-    double delay_s = retry_policy_.CheckDelayS(request, LastBackend(request), now_s);
+  // `backend`: of the last attempt, or null.
+  void StartCheckTimer(const InFlightRequest& request, const Backend* backend, double now_s,
+                       Actions* actions) {
+    double delay_s = retry_policy_.CheckDelayS(request, backend, now_s);
     actions->push_back(StartTimer{delay_s, request.request.id});
   }
 
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -8,7 +8,6 @@
 namespace gateway::policy {
 namespace {
 
-constexpr int kSilentAfterFailures = 4;
 // Pause between two calls of a gateway while the counter is silent: at least the first, and so long that all
 // gateways together make no more than so many calls a second.
 constexpr double kMinSilentPauseS = 0.3;
@@ -43,8 +42,6 @@
 
 }  // namespace
 
-bool CounterSchedule::IsSilent() const { return failures_in_a_row_ >= kSilentAfterFailures; }
-
 double CounterSchedule::LookupPrice() const {
   return kCallsPerLookup * settings_.counter_call_price + CongestionPrice();
 }
--- a/src/policy/counter_schedule.h
+++ b/src/policy/counter_schedule.h
@@ -36,7 +36,7 @@
   // `settings` must outlive this.
   explicit CounterSchedule(const Settings& settings) : settings_(settings) {}
 
-  bool IsSilent() const;
+  bool IsSilent() const { return failures_in_a_row_ >= kSilentAfterFailures; }
   // Whether the pause after the last call is over. It is none while the counter keeps up.
   bool MayCall(double now_s) const { return now_s >= next_call_s_; }
 
@@ -59,6 +59,7 @@
                   Actions* actions);
 
  private:
+  static constexpr int kSilentAfterFailures = 4;
   // The congestion price starts from this level, which itself counts as no price.
   static constexpr double kMinCongestion = 0.01;
 
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -1,5 +1,7 @@
 #include "policy/endpoint_selector.h"
 
+#include <optional>
+
 namespace gateway::policy {
 namespace {
 
@@ -13,22 +15,49 @@
 
 }  // namespace
 
-Backend* EndpointSelector::Select(const InFlightRequest& request, double now_s, Candidates candidates) {
+// Both run for every backend of every request.
+inline bool EndpointSelector::IsUsable(const InFlightRequest& request, Backend* backend, double now_s) const {
+  if (!backend->IsReady()) return false;
+  if (!request.attempts.empty() && !retry_policy_.AllowsEndpoint(request, backend->endpoint)) return false;
+  if (backend->outlier.IsOnProbation() && backend->attempts_in_flight > 0) return false;
+  if (!backend->limiter.HasRoom(backend->attempts_in_flight)) return false;
+  return !backend->warm_up.IsActive() || slow_start_.HasBudget(&backend->warm_up, now_s);
+}
+
+inline double EndpointSelector::Cost(const InFlightRequest& request, const Backend& backend) const {
+  double random_factor = kMinRandomFactor + kRandomFactorRange * random_.Uniform();
+  double cost = backend.relative_latency * (backend.attempts_in_flight + 1) * backend.outlier.CostFactor() *
+                random_factor;
+  if (backend.endpoint.zone != zone_) cost *= kOtherZoneFactor;
+  if (backend.warm_up.IsActive()) cost *= kWarmingUpFactor;
+  for (const Attempt& attempt : request.attempts) {
+    if (attempt.backend_id == backend.endpoint.id) cost += kRepeatedBackendCost;
+  }
+  return cost;
+}
+
+bool EndpointSelector::MayExcludeEjected(double now_s) const {
   int ready = 0;
-  int warm = 0;
   int ejected = 0;
   for (const Backend& backend : endpoints_.backends()) {
     if (!backend.IsReady()) continue;
     ++ready;
-    if (!backend.warm_up.IsActive()) ++warm;
     if (backend.outlier.IsEjected(now_s)) ++ejected;
   }
-  slow_start_.SetWarmBackendCount(warm);
-  bool exclude_ejected = OutlierDetector::MayExclude(ejected, ready);
+  return OutlierDetector::MayExclude(ejected, ready);
+}
+
+Backend* EndpointSelector::Select(const InFlightRequest& request, double now_s, Candidates candidates) {
+  slow_start_.SetWarmBackendCount(endpoints_.WarmCount());
+  std::optional<bool> exclude_ejected;  // counted only where a backend is ejected
   Backend* best = nullptr;
   double best_cost = 0;
   for (Backend& backend : endpoints_.backends()) {
-    if (!IsUsable(request, &backend, exclude_ejected, now_s)) continue;
+    if (backend.outlier.IsEjected(now_s)) {
+      if (!exclude_ejected.has_value()) exclude_ejected = MayExcludeEjected(now_s);
+      if (*exclude_ejected) continue;
+    }
+    if (!IsUsable(request, &backend, now_s)) continue;
     if (candidates == Candidates::kWarmingUp && !backend.warm_up.IsActive()) continue;
     double cost = Cost(request, backend);
     if (best == nullptr || cost < best_cost) {
@@ -39,25 +68,4 @@
   return best;
 }
 
-bool EndpointSelector::IsUsable(const InFlightRequest& request, Backend* backend, bool exclude_ejected,
-                                double now_s) const {
-  if (!backend->IsReady() || !retry_policy_.AllowsEndpoint(request, backend->endpoint)) return false;
-  if (exclude_ejected && backend->outlier.IsEjected(now_s)) return false;
-  if (backend->outlier.IsOnProbation() && backend->attempts_in_flight > 0) return false;
-  if (!backend->limiter.HasRoom(backend->attempts_in_flight)) return false;
-  return !backend->warm_up.IsActive() || slow_start_.HasBudget(&backend->warm_up, now_s);
-}
-
-double EndpointSelector::Cost(const InFlightRequest& request, const Backend& backend) const {
-  double random_factor = kMinRandomFactor + kRandomFactorRange * random_.Uniform();
-  double cost = backend.relative_latency * (backend.attempts_in_flight + 1) * backend.outlier.CostFactor() *
-                random_factor;
-  if (backend.endpoint.zone != settings_.zone) cost *= kOtherZoneFactor;
-  if (backend.warm_up.IsActive()) cost *= kWarmingUpFactor;
-  for (const Attempt& attempt : request.attempts) {
-    if (attempt.backend_id == backend.endpoint.id) cost += kRepeatedBackendCost;
-  }
-  return cost;
-}
-
 }  // namespace gateway::policy
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -25,7 +25,7 @@
   // The references must outlive this.
   EndpointSelector(const Settings& settings, const RetryPolicy& retry_policy, EndpointSet* endpoints,
                    SlowStart* slow_start, RandomSource* random)
-      : settings_(settings),
+      : zone_(settings.zone),
         retry_policy_(retry_policy),
         endpoints_(*endpoints),
         slow_start_(*slow_start),
@@ -35,11 +35,13 @@
   Backend* Select(const InFlightRequest& request, double now_s, Candidates candidates = Candidates::kAll);
 
  private:
-  // Refills the budget of a backend that warms up.
-  bool IsUsable(const InFlightRequest& request, Backend* backend, bool exclude_ejected, double now_s) const;
+  // Whether ejected backends are left out: not where too many are.
+  bool MayExcludeEjected(double now_s) const;
+  // Of a backend that is not left out as ejected. Refills the budget of one that warms up.
+  bool IsUsable(const InFlightRequest& request, Backend* backend, double now_s) const;
   double Cost(const InFlightRequest& request, const Backend& backend) const;
 
-  const Settings& settings_;
+  const int zone_;  // of this gateway
   const RetryPolicy& retry_policy_;
   EndpointSet& endpoints_;
   SlowStart& slow_start_;
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -27,15 +27,4 @@
   }
 }
 
-EndpointSet::Load EndpointSet::ReadyLoad() const {
-  Load load;
-  for (const Backend& backend : backends_) {
-    if (!backend.IsReady()) continue;
-    double limit = backend.limiter.limit();
-    load.in_flight += std::min<double>(backend.attempts_in_flight, std::max(1.0, limit));
-    load.limit += limit;
-  }
-  return load;
-}
-
 }  // namespace gateway::policy
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -51,7 +51,23 @@
   }
 
   std::vector<Backend>& backends() { return backends_; }
-  Load ReadyLoad() const;
+  // Backends that are ready and warmed up.
+  int WarmCount() const {
+    auto is_warm = [](const Backend& backend) { return backend.IsReady() && !backend.warm_up.IsActive(); };
+    return static_cast<int>(std::count_if(backends_.begin(), backends_.end(), is_warm));
+  }
+
+  // Runs for every request: defined here, where it is inlined, since the sums then stay in registers.
+  Load ReadyLoad() const {
+    Load load;
+    for (const Backend& backend : backends_) {
+      if (!backend.IsReady()) continue;
+      double limit = backend.limiter.limit();
+      load.in_flight += std::min<double>(backend.attempts_in_flight, std::max(1.0, limit));
+      load.limit += limit;
+    }
+    return load;
+  }
 
  private:
   void ApplyEndpoint(const Endpoint& endpoint, double now_s, SlowStart* slow_start);
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -90,7 +90,8 @@
   if (idle && !borrowed) return false;
   double limit_share = kMinLimitShare + (1 - kMinLimitShare) * RelativeValue(request);
   double exponent = (borrowed ? kBorrowedExponent : 1) / limit_share;
-  if (random_.Uniform() > std::pow(admitted_share_, exponent)) return true;
+  double draw = random_.Uniform();
+  if (admitted_share_ < 1 && draw > std::pow(admitted_share_, exponent)) return true;
   EndpointSet::Load load = endpoints.ReadyLoad();
   return load.in_flight >= load.limit * limit_share * (borrowed ? kBorrowedLimitShare : 1);
 }
--- a/src/policy/quota_check.cpp
+++ b/src/policy/quota_check.cpp
@@ -33,13 +33,15 @@
         plan.max_concurrent_attempts, estimator_.MeanLatencyS(request.request_class), now_s);
     if (!quota.HasRateQuota()) return AssessConcurrency(*tenant, concurrency_probability, now_s);
   }
-  double prior = PriorWithinQuota(*tenant, request, now_s);
-  bool within = quota.HasRoom(request.cost_units, now_s) && IsWorthAdmitting(concurrency_probability, loss);
-  if (!quota.IsKnown() && !quota.HasSingleGateway() && prior * (1 + loss) < loss) within = false;
   QuotaAssessment assessment;
-  assessment.probability_within = quota.ProbabilityOfRoom(request.cost_units, now_s, prior,
-                                                          settings_.max_request_units, counter_.IsSilent()) *
-                                  std::min(1.0, concurrency_probability);
+  bool within = quota.HasRoom(request.cost_units, now_s) && IsWorthAdmitting(concurrency_probability, loss);
+  if (!quota.HasSingleGateway()) {
+    double prior = PriorWithinQuota(*tenant, request, now_s);
+    if (!quota.IsKnown() && !IsWorthAdmitting(prior, loss)) within = false;
+    double probability = quota.ProbabilityOfRoom(request.cost_units, now_s, prior,
+                                                 settings_.max_request_units, counter_.IsSilent());
+    assessment.probability_within = probability * std::min(1.0, concurrency_probability);
+  }
   if (within) {
     assessment.decision = QuotaDecision::kWithinQuota;
   } else if (AllowsBorrowing(plan) && quota.tokens() + tenant->borrowed.units() >= request.cost_units &&
--- a/src/policy/quota_check.h
+++ b/src/policy/quota_check.h
@@ -19,7 +19,9 @@
 
 struct QuotaAssessment {
   QuotaDecision decision = QuotaDecision::kOverQuota;
-  double probability_within = 0;  // that the fleet-wide quotas cover the request, by what is known now
+  // Probability that the fleet-wide quotas cover the request, by what is known now. Only for tenants that
+  // come through several gateways: for others the decision is certain.
+  double probability_within = 0;
 };
 
 // Combines the rules of tenant_quota, concurrency_quota and demand_share into one decision.
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -35,8 +35,7 @@
   return request.deadline_s - now_s >= estimator_.ExpectedLatencyS(request.request);
 }
 
-bool RetryPolicy::AllowsEndpoint(const InFlightRequest& request, const Endpoint& endpoint) const {
-  if (!request.may_have_run) return true;
+bool RetryPolicy::SharesIdempotencyKeys(const InFlightRequest& request, const Endpoint& endpoint) const {
   const ClassSettings& request_class = ClassOf(request);
   if (request_class.idempotency == Idempotency::kIdempotent) return true;
   switch (request_class.deduplication_scope) {
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -33,7 +33,9 @@
 
   // Whether `endpoint` may get the next attempt: after one that may have run, backends that do not share its
   // memory of idempotency keys would run the request again.
-  bool AllowsEndpoint(const InFlightRequest& request, const Endpoint& endpoint) const;
+  bool AllowsEndpoint(const InFlightRequest& request, const Endpoint& endpoint) const {
+    return !request.may_have_run || SharesIdempotencyKeys(request, endpoint);
+  }
 
   // Whether the silence of the last attempt's backend calls for a hedged request, or for a cancellation.
   bool ShouldGiveUpOnSilentAttempt(const InFlightRequest& request, const Backend* backend,
@@ -54,6 +56,7 @@
   const ClassSettings& ClassOf(const InFlightRequest& request) const {
     return settings_.classes[static_cast<size_t>(request.request.request_class)];
   }
+  bool SharesIdempotencyKeys(const InFlightRequest& request, const Endpoint& endpoint) const;
   bool EffectAllowsAttempt(const InFlightRequest& request, double now_s) const;
 
   const Settings& settings_;
--- a/src/policy/tenant.cpp
+++ b/src/policy/tenant.cpp
@@ -64,18 +64,14 @@
   return tenant;
 }
 
-Tenant* TenantTable::Find(uint64_t tenant_id) {
-  auto it = tenants_.find(tenant_id);
-  return it == tenants_.end() ? nullptr : &it->second;
-}
-
 void TenantTable::RemoveIdle(double now_s) {
   if (now_s - checked_s_ < kIdleCheckIntervalS) return;
   checked_s_ = now_s;
   std::erase_if(tenants_, [now_s](const auto& entry) {
     const Tenant& tenant = entry.second;
-    bool idle = now_s > tenant.last_request_s + IdleTimeoutS(tenant.quota.plan());
-    return idle && !tenant.HasCallPending() && tenant.concurrency.attempts_in_flight() == 0;
+    if (now_s <= tenant.last_request_s + kMinIdleS) return false;
+    if (tenant.HasCallPending() || tenant.concurrency.attempts_in_flight() != 0) return false;
+    return now_s > tenant.last_request_s + IdleTimeoutS(tenant.quota.plan());
   });
 }
 
--- a/src/policy/tenant.h
+++ b/src/policy/tenant.h
@@ -54,7 +54,11 @@
 
   // The tenant of a request that arrives, created where it is new.
   Tenant& RecordRequest(const Request& request, double now_s);
-  Tenant* Find(uint64_t tenant_id);
+  // Null where it is not known.
+  Tenant* Find(uint64_t tenant_id) {
+    auto it = tenants_.find(tenant_id);
+    return it == tenants_.end() ? nullptr : &it->second;
+  }
 
   // Forgets tenants that were idle for so long that their quotas are as new. Bounds the memory.
   void RemoveIdle(double now_s);
--- a/src/policy/tenant_quota.cpp
+++ b/src/policy/tenant_quota.cpp
@@ -100,13 +100,11 @@
 
 double TenantQuota::ProbabilityOfRoom(double units, double now_s, double prior, double max_request_units,
                                       bool counter_is_silent) const {
-  bool alone = HasSingleGateway();
   double age_s = now_s - total_read_s_;
   double trust = 0;
-  if (known_) trust = alone || counter_is_silent ? 1 : std::exp(-age_s / WindowSeconds(*plan_));
-  double others_rate = alone ? 0 : others_rate_units_per_s_;
-  double deviation_units =
-      std::sqrt(kUsageVarianceFloor + kUsageVarianceShare * max_request_units * others_rate * age_s);
+  if (known_) trust = counter_is_silent ? 1 : std::exp(-age_s / WindowSeconds(*plan_));
+  double deviation_units = std::sqrt(kUsageVarianceFloor + kUsageVarianceShare * max_request_units *
+                                                               others_rate_units_per_s_ * age_s);
   double score = (bucket_.tokens() - units) / deviation_units;
   return trust / (1 + std::exp(-kLogisticSlope * score)) + (1 - trust) * prior;
 }
--- a/src/policy/tenant_quota.h
+++ b/src/policy/tenant_quota.h
@@ -59,7 +59,8 @@
   bool HasRoom(double units, double now_s) const;
 
   // Probability in [0, 1] that the fleet-wide quota covers `units`: the totals last read count less with age,
-  // `prior` (the share of such requests that proved to be within the quota) counts more.
+  // `prior` (the share of such requests that proved to be within the quota) counts more. For tenants that
+  // come through several gateways.
   double ProbabilityOfRoom(double units, double now_s, double prior, double max_request_units,
                            bool counter_is_silent) const;
 
