--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -1,7 +1,6 @@
 #include "policy/admission_policy.h"
 
 #include <algorithm>
-#include <cmath>
 #include <optional>
 #include <unordered_map>
 #include <utility>
@@ -15,6 +14,7 @@
 #include "policy/outcome_feedback.h"
 #include "policy/quota_check.h"
 #include "policy/random_source.h"
+#include "policy/request_validation.h"
 #include "policy/retry_policy.h"
 #include "policy/service_estimator.h"
 #include "policy/slow_start.h"
@@ -27,17 +27,9 @@
 constexpr uint64_t kPollDiscoveryTag = 1ULL << 40;
 // The most that discovery is waited for after it failed.
 constexpr double kMaxPollDelayS = 1;
-// A request whose deadline is closer than this is rejected unseen.
-constexpr double kMinTimeLeftResolutions = 2;
 // A waiting request is charged, and so reported, in advance where it is at least so likely to be admitted.
 constexpr double kReserveProbability = 0.5;
 
-// Whether the attempt may have had its effect.
-bool MayHaveRun(CallResult result) {
-  return result == CallResult::kError || result == CallResult::kTimeout || result == CallResult::kReset ||
-         result == CallResult::kCancelled;
-}
-
 }  // namespace
 
 // The path of a request: OnRequest checks its quota, sheds load and forwards it, or lets it wait for the
@@ -75,7 +67,7 @@
   void OnRequest(double now_s, const Request& request, Actions* actions) {
     tenants_.RemoveIdle(now_s);
     if (in_flight_.count(request.id) != 0) return;
-    if (!IsValid(request)) return Reject(request.id, actions);
+    if (!IsValidRequest(request, settings_)) return Reject(request.id, actions);
     Tenant& tenant = tenants_.RecordRequest(request, now_s);
     if (tenant.plan_index != request.plan) return Reject(request.id, actions);
     QuotaAssessment assessment = quota_check_.Assess(&tenant, request, now_s);
@@ -147,16 +139,6 @@
   }
 
  private:
-  bool IsValid(const Request& request) const {
-    bool known_class =
-        request.request_class >= 0 && request.request_class < static_cast<int>(settings_.classes.size());
-    bool known_plan = request.plan >= 0 && request.plan < static_cast<int>(settings_.plans.size());
-    bool has_cost = std::isfinite(request.cost_units) && request.cost_units > 0;
-    double min_time_left_s = kMinTimeLeftResolutions * settings_.timer_resolution_s;
-    bool has_time = std::isfinite(request.time_left_s) && request.time_left_s > min_time_left_s;
-    return known_class && known_plan && has_cost && has_time && std::isfinite(request.ingress_gateways);
-  }
-
   void Reject(uint32_t request_id, Actions* actions) { actions->push_back(RejectRequest{request_id, 0}); }
   void RejectOverQuota(uint32_t request_id, Actions* actions) {
     double retry_after_s = settings_.retry_after_enabled ? settings_.max_retry_after_s : 0;
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -48,6 +48,12 @@
   kNeverSent,      // given up by this gateway before it was sent
 };
 
+// Whether an attempt that ended so may have had its effect, without an answer that tells.
+inline bool MayHaveRun(CallResult result) {
+  return result == CallResult::kError || result == CallResult::kTimeout || result == CallResult::kReset ||
+         result == CallResult::kCancelled;
+}
+
 struct AttemptOutcome {
   uint32_t request_id = 0;
   int attempt = 0;  // 0 for the first of its request
