--- /dev/null
+++ b/tests/policy/concurrency_quota_test.cpp
@@ -0,0 +1,73 @@
+// A tenant's attempts in flight over the fleet, and the cap on them.
+#include <gtest/gtest.h>
+
+#include "support/policy_fixture.h"
+
+namespace gateway::policy {
+namespace {
+
+using test_support::MakeLargeFleetSettings;
+using test_support::MakeSettings;
+using test_support::PolicyFixture;
+
+// The plan has a cap of two attempts in flight and no quota on the rate.
+Settings WithConcurrencyQuota(Settings settings) {
+  settings.plans[0].rate_units_per_s = 0;
+  settings.plans[0].burst_units = 0;
+  settings.plans[0].max_concurrent_attempts = 2;
+  return settings;
+}
+
+TEST(ConcurrencyQuota, CountsThisGatewaysAttemptsInFlight) {
+  PolicyFixture gateway(WithConcurrencyQuota(MakeSettings()));
+  const uint32_t first = gateway.Arrive();
+  ASSERT_TRUE(gateway.Forwarded());
+  gateway.Arrive();
+  ASSERT_TRUE(gateway.Forwarded());
+  gateway.Arrive();
+  EXPECT_FALSE(gateway.Forwarded());
+  gateway.CompleteAttempt(first, CallResult::kOk);
+  gateway.Arrive();
+  EXPECT_TRUE(gateway.Forwarded());
+}
+
+// Another gateway has an attempt of the tenant in flight and then says nothing more, because it has stopped
+// or its call was lost. If its last count held for ever, the tenant could not use its cap any more. What was
+// counted for other gateways fades within seconds.
+TEST(ConcurrencyQuota, AttemptsOfOtherGatewaysComeFromTheCounterAndFade) {
+  PolicyFixture gateway(WithConcurrencyQuota(MakeSettings()));
+  const uint32_t first = gateway.Arrive({.ingress_gateways = 2});
+  const auto* call = gateway.Find<CallCounter>();
+  ASSERT_NE(call, nullptr);
+  EXPECT_EQ(call->amount, 1);
+  const uint64_t key = call->key;
+  gateway.ReplyFromCounter(key, 2);  // this gateway's attempt, and one of another gateway
+  gateway.Arrive({.ingress_gateways = 2});
+  EXPECT_FALSE(gateway.Forwarded());
+  gateway.CompleteAttempt(first, CallResult::kOk);
+  const auto* decrement = gateway.Find<CallCounter>();
+  ASSERT_NE(decrement, nullptr);
+  EXPECT_EQ(decrement->amount, -1);
+  gateway.ReplyFromCounter(key, 2);
+  gateway.Arrive({.ingress_gateways = 2});
+  EXPECT_FALSE(gateway.Forwarded());
+  gateway.Advance(3);
+  gateway.Arrive({.ingress_gateways = 2});
+  EXPECT_TRUE(gateway.Forwarded());
+}
+
+TEST(ConcurrencyQuota, WaitingRequestIsDecidedByTheCounterReply) {
+  for (double total : {2.0, 3.0}) {
+    PolicyFixture gateway(WithConcurrencyQuota(MakeLargeFleetSettings()));
+    gateway.Arrive({.ingress_gateways = 100});
+    EXPECT_FALSE(gateway.Forwarded());
+    const auto* call = gateway.Find<CallCounter>();
+    ASSERT_NE(call, nullptr);
+    gateway.Advance(0.004);
+    gateway.ReplyFromCounter(call->key, total);
+    EXPECT_EQ(gateway.Forwarded(), total <= 2);
+  }
+}
+
+}  // namespace
+}  // namespace gateway::policy
--- /dev/null
+++ b/tests/policy/demand_share_test.cpp
@@ -0,0 +1,74 @@
+// The share term (PAPER eq. 12): quota that other tenants leave unused, which a tenant of a soft plan may
+// borrow.
+#include <gtest/gtest.h>
+
+#include "support/policy_fixture.h"
+
+namespace gateway::policy {
+namespace {
+
+using test_support::MakeSettings;
+using test_support::PolicyFixture;
+
+// A soft plan: a request beyond the quota earns more than it is charged.
+Settings MakeSoftPlanSettings() {
+  Settings settings = MakeSettings();
+  settings.counter_enabled = false;
+  settings.plans[0].over_quota_penalty = 0;
+  settings.plans[0].excess_value_share = 0.3;
+  return settings;
+}
+
+Settings MakeHardPlanSettings() {
+  Settings settings = MakeSettings();
+  settings.counter_enabled = false;
+  settings.plans[0].over_quota_penalty = 1;
+  settings.plans[0].excess_value_share = 0;
+  return settings;
+}
+
+// Serves a request of each of five new tenants, which leave nearly all of their quota unused.
+void ServeFiveNewTenants(PolicyFixture* gateway, uint64_t* next_tenant) {
+  for (int i = 0; i < 5; ++i) gateway->ServeRequest({.tenant = (*next_tenant)++});
+}
+
+// For 2 s, one tenant sends a hundred requests beside new tenants. Returns how many of them were forwarded.
+int CountForwardedBesideNewTenants(const Settings& settings) {
+  PolicyFixture gateway(settings);
+  uint64_t next_tenant = 100;
+  int forwarded = 0;
+  for (int i = 0; i < 100; ++i) {
+    gateway.SetTime(100 + i * 0.02);
+    ServeFiveNewTenants(&gateway, &next_tenant);
+    forwarded += gateway.ServeRequest() ? 1 : 0;
+  }
+  return forwarded;
+}
+
+TEST(DemandShare, OnlySoftPlansBorrowBeyondTheirQuota) {
+  EXPECT_LE(CountForwardedBesideNewTenants(MakeHardPlanSettings()), 14);
+  EXPECT_GT(CountForwardedBesideNewTenants(MakeSoftPlanSettings()), 40);
+}
+
+// Backends reject attempts because they are overloaded. If a tenant could still borrow quota, its excess
+// would take capacity from requests within their quota. For a while after a rejected attempt nothing is lent.
+TEST(DemandShare, NothingIsLentWhileBackendsReject) {
+  PolicyFixture gateway(MakeSoftPlanSettings());
+  uint64_t next_tenant = 100;
+  int forwarded = 0;
+  for (int i = 0; i < 100; ++i) {
+    gateway.SetTime(100 + i * 0.02);
+    ServeFiveNewTenants(&gateway, &next_tenant);
+    const uint32_t request = gateway.Arrive({.tenant = 1000 + static_cast<uint64_t>(i)});
+    ASSERT_TRUE(gateway.Forwarded());
+    const bool is_overloaded = i % 5 == 0;
+    gateway.CompleteAttempt(request, is_overloaded ? CallResult::kRejected : CallResult::kOk);
+    ASSERT_EQ(gateway.Forwarded(), is_overloaded);  // the retry
+    if (is_overloaded) gateway.CompleteAttempt(request, CallResult::kOk);
+    forwarded += gateway.ServeRequest() ? 1 : 0;
+  }
+  EXPECT_LE(forwarded, 14);
+}
+
+}  // namespace
+}  // namespace gateway::policy
--- /dev/null
+++ b/tests/policy/load_shedder_test.cpp
@@ -0,0 +1,92 @@
+// The share of requests that is admitted, by their priority weight and by the latency of the answers.
+#include <gtest/gtest.h>
+
+#include "support/policy_fixture.h"
+
+namespace gateway::policy {
+namespace {
+
+using test_support::kIdempotencyKeyClass;
+using test_support::kIdempotentClass;
+using test_support::kNonIdempotentClass;
+using test_support::MakeEndpoints;
+using test_support::MakeSettings;
+using test_support::PolicyFixture;
+
+// More requests arrive than the backends can take. Shed at random, a class of ten times the priority weight
+// would lose as many as the other one. The last of the capacity is reserved for it.
+TEST(LoadShedder, LastCapacityIsForTheHighestPriorityWeight) {
+  constexpr int kLowPriorityClass = kIdempotentClass;
+  constexpr int kHighPriorityClass = kIdempotencyKeyClass;
+  Settings settings = MakeSettings();
+  settings.classes[kHighPriorityClass].priority_weight = 10;
+  PolicyFixture gateway(settings, {.endpoints = MakeEndpoints(2)});
+  uint64_t next_tenant = 100;
+  int low_priority_forwarded = 0;
+  int high_priority_forwarded = 0;
+  for (int i = 0; i < 20; ++i) {
+    gateway.Arrive({.request_class = kLowPriorityClass, .tenant = next_tenant++});
+    low_priority_forwarded += gateway.Forwarded() ? 1 : 0;
+    gateway.Arrive({.request_class = kHighPriorityClass, .tenant = next_tenant++});
+    high_priority_forwarded += gateway.Forwarded() ? 1 : 0;
+  }
+  EXPECT_GE(high_priority_forwarded, low_priority_forwarded + 2);
+  EXPECT_GT(low_priority_forwarded, 0);
+}
+
+// Serves 200 requests of new tenants, one at a time; returns the number that was forwarded.
+int CountAdmittedAtLatency(double latency_s) {
+  Settings settings = MakeSettings();
+  settings.counter_enabled = false;
+  PolicyFixture gateway(settings, {.endpoints = MakeEndpoints(100)});
+  int forwarded = 0;
+  for (int i = 0; i < 200; ++i) {
+    const uint32_t request = gateway.Arrive({.time_left_s = 1.4, .tenant = 1000 + static_cast<uint64_t>(i)});
+    const bool is_forwarded = gateway.Forwarded();
+    gateway.Advance(latency_s);
+    if (is_forwarded) gateway.CompleteAttempt(request, CallResult::kOk);
+    forwarded += is_forwarded ? 1 : 0;
+  }
+  return forwarded;
+}
+
+// Many gateways together overload a hundred backends. A single gateway hardly ever has more than one attempt
+// in flight at a backend, so the limits of the single backends do not reduce the traffic, and answers would
+// stay slow. The answers of all backends together lower the share of requests that is admitted.
+TEST(LoadShedder, SlowAnswersOfAllBackendsLowerTheAdmittedShare) {
+  EXPECT_EQ(CountAdmittedAtLatency(0.05), 200);
+  EXPECT_LT(CountAdmittedAtLatency(0.5), 130);
+}
+
+// The admitted share is low when the last answers have come, and all new requests have little time left. With
+// no attempt in flight nothing would show that the backends have capacity again, and the gateway would reject
+// for ever. So after a latency objective without an attempt the next request is admitted.
+TEST(LoadShedder, AdmitsARequestAfterALatencyObjectiveWithoutAttempts) {
+  Settings settings = MakeSettings();
+  settings.counter_enabled = false;
+  PolicyFixture gateway(settings, {.endpoints = MakeEndpoints(100)});
+  // A request that is attempted once at most, and has less time left than the first one.
+  const auto arrive_late = [&gateway](uint64_t tenant) {
+    return gateway.Arrive({.request_class = kNonIdempotentClass, .time_left_s = 0.8, .tenant = tenant});
+  };
+  const uint32_t first = gateway.Arrive({.request_class = kNonIdempotentClass, .time_left_s = 1.4});
+  gateway.CompleteAttempt(first, CallResult::kOk);
+  for (uint64_t i = 0; i < 400; ++i) {
+    const uint32_t request = arrive_late(1000 + i);
+    const bool is_forwarded = gateway.Forwarded();
+    gateway.Advance(is_forwarded ? 0.59 : 0.02);
+    if (is_forwarded) gateway.CompleteAttempt(request, CallResult::kOk);
+  }
+  int forwarded = 0;
+  for (uint64_t i = 0; i < 16; ++i) {  // 4 s
+    gateway.Advance(0.25);
+    const uint32_t request = arrive_late(2000 + i);
+    if (!gateway.Forwarded()) continue;
+    ++forwarded;
+    gateway.CompleteAttempt(request, CallResult::kError);
+  }
+  EXPECT_GE(forwarded, 3);
+}
+
+}  // namespace
+}  // namespace gateway::policy
