--- a/lab/counter.cpp
+++ b/lab/counter.cpp
@@ -9,7 +9,7 @@
 Counter::Answer Counter::Call(double now_s, uint64_t name, double amount, double life_s) {
   ++calls_;
   if (spec_.silent) return {-1, false, 0};
-  double& free_at = free_at_[Mix(name) % free_at_.size()];
+  double& free_at = free_at_[SplitMix64(name) % free_at_.size()];
   double start = std::max(now_s, free_at);
   if (start - now_s > spec_.most_wait_s) {
     ++busy_;
--- a/lab/fleet.cpp
+++ b/lab/fleet.cpp
@@ -6,7 +6,8 @@
 #include <unordered_map>
 
 #include "lab/backend.h"
-#include "lab/clock.h"
+#include "lab/event_queue.h"
+#include "lab/processor_clock.h"
 #include "lab/random.h"
 
 namespace gateway::lab {
@@ -55,9 +56,9 @@
     double quiet = spec_.quiet_s;
     NextArrival();
     if (spec_.counter_silent_at_s >= 0) {
-      queue_.At(kStartS + quiet + spec_.counter_silent_at_s, [this] { counter_.set_silent(true); });
-      queue_.At(kStartS + quiet + spec_.counter_silent_at_s + spec_.counter_silent_s,
-                [this] { counter_.set_silent(false); });
+      queue_.Schedule(kStartS + quiet + spec_.counter_silent_at_s, [this] { counter_.set_silent(true); });
+      queue_.Schedule(kStartS + quiet + spec_.counter_silent_at_s + spec_.counter_silent_s,
+                      [this] { counter_.set_silent(false); });
     }
     queue_.RunUntil(End());
     queue_.RunUntil(End() + kDeadlineS);
@@ -80,7 +81,7 @@
   };
 
   double End() const { return kStartS + spec_.quiet_s + spec_.seconds; }
-  bool Measured() const { return queue_.now() >= kStartS + spec_.quiet_s; }
+  bool Measured() const { return queue_.now_s() >= kStartS + spec_.quiet_s; }
   double Load() const { return Measured() ? 1 : 0.1; }
 
   const policy::PlanSettings& Plan(const Tenant& t) const {
@@ -171,7 +172,7 @@
       policy::Settings settings = settings_;
       settings.zone = g % spec_.zones;
       gateway.balancer = std::make_unique<policy::AdmissionPolicy>(
-          settings, Mix(spec_.seed * 7919 + static_cast<uint64_t>(g)), kStartS, &none);
+          settings, SplitMix64(spec_.seed * 7919 + static_cast<uint64_t>(g)), kStartS, &none);
       Tell(gateway, [&](auto& b, double now, auto* out) {
         b.OnEndpointUpdate(now, policy::EndpointUpdateKind::kFull, entries_, out);
       });
@@ -182,7 +183,7 @@
       for (int k = 0; k < spec_.restarts; ++k) {
         double at = kStartS + spec_.quiet_s + spec_.replaced_at_s +
                     spec_.replaced_within_s * (random_.Uniform() + k) / spec_.restarts;
-        queue_.At(at, [this, i] { Restart(i); });
+        queue_.Schedule(at, [this, i] { Restart(i); });
       }
     }
   }
@@ -190,7 +191,7 @@
   // Starts cold under its own name. Connections to it are gone, and gateways learn of it with discovery's
   // lag.
   void Restart(int backend) {
-    double now = queue_.now();
+    double now = queue_.now_s();
     CheckWindows(backend);
     backends_[static_cast<size_t>(backend)] = NewBackend(now);
     sent_[backend].clear();
@@ -198,7 +199,7 @@
       gateway.idle.erase(backend);
       bool late = random_.Uniform() < spec_.late_share;
       double at = now + spec_.lag_s * random_.Uniform() + (late ? spec_.late_s : 0);
-      queue_.At(at, [this, &gateway, backend, now] {
+      queue_.Schedule(at, [this, &gateway, backend, now] {
         gateway.told_start[backend] = now;
         count_.list_bytes += kEntryBytes;
         Tell(gateway, [&](auto& b, double at_s, auto* out) {
@@ -210,8 +211,8 @@
 
   void NextArrival() {
     double gap = random_.Exponential(1 / (spec_.requests_per_s * Load()));
-    if (queue_.now() + gap >= End()) return;
-    queue_.At(queue_.now() + gap, [this] {
+    if (queue_.now_s() + gap >= End()) return;
+    queue_.Schedule(queue_.now_s() + gap, [this] {
       Arrive();
       NextArrival();
     });
@@ -227,12 +228,13 @@
     t.units = 1 + std::floor(random_.Uniform() * spec_.most_units);
     // Worth and work both grow with the units, as in a site whose units are the request's size.
     t.work_s = ClassWork(t.cls) * work_scale_ * t.units / MeanUnits() * random_.Between(0.7, 1.3);
-    t.began = queue_.now();
+    t.began = queue_.now_s();
     t.patience_s = kDeadlineS * random_.Between(0.5, 1);
     Tenant& of = tenants_[static_cast<size_t>(t.tenant)];
     const auto& plan = Plan(of);
-    of.offer = std::min(plan.burst_units, of.offer + plan.rate_units_per_s * (queue_.now() - of.offered_at));
-    of.offered_at = queue_.now();
+    of.offer =
+        std::min(plan.burst_units, of.offer + plan.rate_units_per_s * (queue_.now_s() - of.offered_at));
+    of.offered_at = queue_.now_s();
     bool offered = of.offer >= t.units;
     if (offered) of.offer -= t.units;
     if (Measured()) {
@@ -247,8 +249,8 @@
   // Whether the quota, as it truly is, has room for so many units now.
   double Store(Tenant& t) {
     const auto& plan = Plan(t);
-    t.store = std::min(plan.burst_units, t.store + plan.rate_units_per_s * (queue_.now() - t.stored_at));
-    t.stored_at = queue_.now();
+    t.store = std::min(plan.burst_units, t.store + plan.rate_units_per_s * (queue_.now_s() - t.stored_at));
+    t.stored_at = queue_.now_s();
     return t.store;
   }
   bool Inside(Tenant& t, double units) { return !spec_.quotas || Store(t) >= units; }
@@ -256,8 +258,8 @@
   Gateway& Entrance(int tenant) {
     const Tenant& t = tenants_[static_cast<size_t>(tenant)];
     // The busiest change from time to time: the order is turned by a draw of the tenant and the period.
-    uint64_t period = static_cast<uint64_t>(queue_.now() / spec_.shift_s);
-    int turn = static_cast<int>(Mix(static_cast<uint64_t>(tenant) * 1000003 + period) %
+    uint64_t period = static_cast<uint64_t>(queue_.now_s() / spec_.shift_s);
+    int turn = static_cast<int>(SplitMix64(static_cast<uint64_t>(tenant) * 1000003 + period) %
                                 static_cast<uint64_t>(t.spread));
     int rank =
         std::min(t.spread - 1, static_cast<int>(t.spread * std::pow(random_.Uniform(), 1 + spec_.skew)));
@@ -267,7 +269,7 @@
   void Enter(Try t) {
     const Tenant& tenant = tenants_[static_cast<size_t>(t.tenant)];
     Gateway& gateway = Entrance(t.tenant);
-    t.arrived = queue_.now();
+    t.arrived = queue_.now_s();
     if (Measured()) ++count_.tries;
     policy::Request request;
     request.id = ++gateway.last;
@@ -286,9 +288,9 @@
   template <typename Call>
   void Tell(Gateway& gateway, Call call) {
     policy::Actions actions;
-    double begun = ProcessorSeconds();
-    call(*gateway.balancer, queue_.now(), &actions);
-    decision_s_ += ProcessorSeconds() - begun;
+    double begun = ThreadProcessorSeconds();
+    call(*gateway.balancer, queue_.now_s(), &actions);
+    decision_s_ += ThreadProcessorSeconds() - begun;
     for (const Action& action : actions) Act(gateway, action);
   }
 
@@ -304,10 +306,10 @@
     Answer(gateway, action.request_id, false, 0);
   }
   void Act(Gateway& gateway, const policy::StartTimer& action) {
-    queue_.At(queue_.now() + std::max(action.delay_s, spec_.resolution_s),
-              [this, &gateway, tag = action.tag] {
-                Tell(gateway, [&](auto& b, double at, auto* out) { b.OnTimer(at, tag, out); });
-              });
+    queue_.Schedule(queue_.now_s() + std::max(action.delay_s, spec_.resolution_s),
+                    [this, &gateway, tag = action.tag] {
+                      Tell(gateway, [&](auto& b, double at, auto* out) { b.OnTimer(at, tag, out); });
+                    });
   }
   void Act(Gateway& gateway, const policy::CallCounter& action) { Count(gateway, action); }
   void Act(Gateway&, const policy::LogEvent&) {}
@@ -318,7 +320,7 @@
     if (it == gateway.tries.end()) return;
     Try& t = it->second;
     Tenant& tenant = tenants_[static_cast<size_t>(t.tenant)];
-    double now = queue_.now();
+    double now = queue_.now_s();
     int backend = static_cast<int>(action.backend_id) - 1, attempt = static_cast<int>(t.attempts.size());
     HollowBackend& b = backends_[static_cast<size_t>(backend)];
     if (!t.sent) {
@@ -365,13 +367,13 @@
       back = now + patience;
       result = CallResult::kTimeout;
     }
-    queue_.At(back, [this, &gateway, id = action.request_id, attempt, backend, result, now] {
+    queue_.Schedule(back, [this, &gateway, id = action.request_id, attempt, backend, result, now] {
       End(gateway, id, attempt, backend, result, now);
     });
   }
 
   void End(Gateway& gateway, uint32_t id, int attempt, int backend, CallResult result, double sent_at) {
-    double now = queue_.now();
+    double now = queue_.now_s();
     gateway.idle[backend].push_back(now);
     auto it = gateway.tries.find(id);
     if (it == gateway.tries.end()) return;
@@ -393,7 +395,7 @@
   }
 
   void Served(const Try& t) {
-    double took = queue_.now() - t.began;
+    double took = queue_.now_s() - t.began;
     if (t.began < kStartS + spec_.quiet_s) return;
     ++count_.served;
     count_.served_s.Add(took);
@@ -423,8 +425,8 @@
       again.began = t.began;
       again.patience_s = t.patience_s;
       double wait = std::max(stay_away, 0.05 + 0.3 * random_.Uniform());
-      if (queue_.now() + wait - t.began < t.patience_s - 0.05) {
-        queue_.At(queue_.now() + wait, [this, again]() mutable { Enter(std::move(again)); });
+      if (queue_.now_s() + wait - t.began < t.patience_s - 0.05) {
+        queue_.Schedule(queue_.now_s() + wait, [this, again]() mutable { Enter(std::move(again)); });
       }
     }
     Forget(gateway, id);
@@ -440,7 +442,7 @@
   }
 
   void Count(Gateway& gateway, const policy::CallCounter& action) {
-    double now = queue_.now();
+    double now = queue_.now_s();
     if (Measured()) ++count_.calls;
     auto answer = counter_.Call(now + spec_.counter_way_s, action.key, action.amount, action.expiry_s);
     double back = answer.at_s < 0 ? now + kCountPatienceS : answer.at_s + spec_.counter_way_s;
@@ -453,7 +455,7 @@
       count_.calls_busy += answer.busy;
       count_.calls_late += back - now > kCountTimeoutS;
     }
-    queue_.At(back, [this, &gateway, key = action.key, total = answer.total, result] {
+    queue_.Schedule(back, [this, &gateway, key = action.key, total = answer.total, result] {
       Tell(gateway, [&](auto& b, double at, auto* out) { b.OnCounterReply(at, {key, total, result}, out); });
     });
   }
--- a/lab/histogram.h
+++ b/lab/histogram.h
@@ -1,4 +1,4 @@
-// A histogram of bounded size whose bins grow by a fixed factor, so that every percentile is within 2.2%.
+// A histogram of bounded size.
 #ifndef GATEWAY_LAB_HISTOGRAM_H_
 #define GATEWAY_LAB_HISTOGRAM_H_
 
@@ -9,42 +9,54 @@
 
 namespace gateway::lab {
 
+// Bins grow by a fixed factor, so every percentile is within 2.2% (one bin). Not thread-safe.
 class Histogram {
  public:
-  // Values below 1e-6 count as nought, and such of 4e3 or more as that.
+  // Values below 1e-6 are counted as zero, and values of about 4e3 or more in the last bin.
   void Add(double value) {
     ++count_;
     sum_ += value;
-    ++bins_[Bin(value)];
+    ++bins_[BinIndex(value)];
   }
+
   uint64_t count() const { return count_; }
+
+  // 0 where there are no values.
   double Mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }
-  // The upper edge of the bin that holds the share `p` of all values; 0 where there are none.
-  double Percentile(double p) const {
-    uint64_t wanted = static_cast<uint64_t>(std::ceil(p * static_cast<double>(count_))), seen = 0;
+
+  // The upper edge of the bin at which `share` (0 to 1) of all values is reached; 0 where there are no
+  // values.
+  double Percentile(double share) const {
+    uint64_t wanted = static_cast<uint64_t>(std::ceil(share * static_cast<double>(count_)));
+    uint64_t seen = 0;
     for (size_t i = 0; i < kBins; ++i) {
       seen += bins_[i];
-      if (seen >= wanted && seen > 0)
-        return i == 0 ? 0 : kLeast * std::exp2(static_cast<double>(i) / kPerOctave);
+      if (seen >= wanted && seen > 0) {
+        return i == 0 ? 0 : kSmallestValue * std::exp2(static_cast<double>(i) / kBinsPerOctave);
+      }
     }
     return 0;
   }
-  // Share of values up to `value`, to the width of a bin.
+
+  // Share of the values up to `value`, to the width of a bin; 1 where there are no values.
   double ShareUpTo(double value) const {
     uint64_t seen = 0;
-    for (size_t i = 0; i <= Bin(value); ++i) seen += bins_[i];
+    for (size_t i = 0; i <= BinIndex(value); ++i) seen += bins_[i];
     return count_ == 0 ? 1 : static_cast<double>(seen) / static_cast<double>(count_);
   }
 
  private:
-  static constexpr double kLeast = 1e-6;
-  static constexpr int kPerOctave = 32;
-  static constexpr size_t kBins = 32 * 32;  // 32 octaves
-  static size_t Bin(double value) {
-    if (!(value >= kLeast)) return 0;
-    double at = std::log2(value / kLeast) * kPerOctave;
-    return std::min(kBins - 1, static_cast<size_t>(at) + 1);
+  static constexpr double kSmallestValue = 1e-6;
+  static constexpr int kBinsPerOctave = 32;
+  static constexpr int kOctaves = 32;
+  static constexpr size_t kBins = size_t{kOctaves} * kBinsPerOctave;
+
+  static size_t BinIndex(double value) {
+    if (!(value >= kSmallestValue)) return 0;
+    double position = std::log2(value / kSmallestValue) * kBinsPerOctave;
+    return std::min(kBins - 1, static_cast<size_t>(position) + 1);
   }
+
   std::array<uint32_t, kBins> bins_{};
   uint64_t count_ = 0;
   double sum_ = 0;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -15,46 +15,45 @@
 
 namespace {
 
-using gateway::lab::Figure;
 using gateway::lab::FleetCount;
 using gateway::lab::FleetSpec;
+using gateway::lab::FormatDecimal;
 using gateway::lab::Report;
 
 // Prints the table, and writes the JSON where a file is named. False where that can't be.
 bool Show(const Report& report, const std::string& json) {
-  std::fputs(report.Table().c_str(), stdout);
+  std::fputs(report.ToMarkdown().c_str(), stdout);
   if (json.empty()) return true;
   std::ofstream out(json);
-  out << report.Json();
+  out << report.ToJson();
   if (out.flush()) return true;
   std::fprintf(stderr, "gateway-lab: cannot write %s\n", json.c_str());
   return false;
 }
 
-std::string Share(double part, double whole) { return Figure(whole > 0 ? 100 * part / whole : 0, 1) + "%"; }
-
 void AddRow(Report* report, const FleetSpec& spec, const FleetCount& c) {
   double tries = static_cast<double>(c.tries), firsts = static_cast<double>(c.first_tries);
-  report->Row({std::to_string(spec.gateways) + " x " + std::to_string(spec.backends),
-               std::to_string(spec.seed),
-               std::to_string(c.first_tries),
-               Share(static_cast<double>(c.in_time), firsts),
-               Figure(c.Value(), 3),
-               Share(static_cast<double>(c.held), tries),
-               Figure(1e3 * c.added_s.Percentile(0.5), 2),
-               Figure(1e3 * c.added_s.Percentile(0.99), 1),
-               Share(c.added_s.ShareUpTo(0.0075), 1),
-               Figure(static_cast<double>(c.calls) / spec.seconds, 0),
-               Share(static_cast<double>(c.calls_late), static_cast<double>(c.calls)),
-               Share(static_cast<double>(c.calls_busy), static_cast<double>(c.calls)),
-               Share(c.units_beyond, c.units_sent),
-               Share(static_cast<double>(c.refused_with_room), tries),
-               Share(static_cast<double>(c.reused), static_cast<double>(c.attempts)),
-               Figure(c.connections_mean, 1),
-               Figure(c.connections_most, 0),
-               Figure(c.imbalance, 2),
-               Figure(c.list_bytes / spec.gateways / spec.seconds / 1e3, 2),
-               Figure(c.decision_us, 2)});
+  report->AddRow(
+      {std::to_string(spec.gateways) + " x " + std::to_string(spec.backends),
+       std::to_string(spec.seed),
+       std::to_string(c.first_tries),
+       gateway::lab::FormatPercent(static_cast<double>(c.in_time), firsts),
+       FormatDecimal(c.Value(), 3),
+       gateway::lab::FormatPercent(static_cast<double>(c.held), tries),
+       FormatDecimal(1e3 * c.added_s.Percentile(0.5), 2),
+       FormatDecimal(1e3 * c.added_s.Percentile(0.99), 1),
+       gateway::lab::FormatPercent(c.added_s.ShareUpTo(0.0075), 1),
+       FormatDecimal(static_cast<double>(c.calls) / spec.seconds, 0),
+       gateway::lab::FormatPercent(static_cast<double>(c.calls_late), static_cast<double>(c.calls)),
+       gateway::lab::FormatPercent(static_cast<double>(c.calls_busy), static_cast<double>(c.calls)),
+       gateway::lab::FormatPercent(c.units_beyond, c.units_sent),
+       gateway::lab::FormatPercent(static_cast<double>(c.refused_with_room), tries),
+       gateway::lab::FormatPercent(static_cast<double>(c.reused), static_cast<double>(c.attempts)),
+       FormatDecimal(c.connections_mean, 1),
+       FormatDecimal(c.connections_most, 0),
+       FormatDecimal(c.imbalance, 2),
+       FormatDecimal(c.list_bytes / spec.gateways / spec.seconds / 1e3, 2),
+       FormatDecimal(c.decision_us, 2)});
 }
 
 Report FleetReport(const std::string& title) {
@@ -150,9 +149,11 @@
       Report report("One real gateway on loopback",
                     {"backends", "changes/s", "ready s", "CPU until ready s", "CPU after, % of a core",
                      "most memory MB", "whole list kB", "kB/s", "calls/s"});
-      report.Row({std::to_string(process.backends), Figure(process.changes_per_s), Figure(c.ready_s, 3),
-                  Figure(c.start_cpu_s, 2), Figure(100 * c.cpu_share), Figure(c.resident_mb, 1),
-                  Figure(c.list_bytes / 1e3, 1), Figure(c.bytes_per_s / 1e3), Figure(c.calls_per_s, 1)});
+      report.AddRow({std::to_string(process.backends), FormatDecimal(process.changes_per_s),
+                     FormatDecimal(c.ready_s, 3), FormatDecimal(c.start_cpu_s, 2),
+                     FormatDecimal(100 * c.cpu_share), FormatDecimal(c.resident_mb, 1),
+                     FormatDecimal(c.list_bytes / 1e3, 1), FormatDecimal(c.bytes_per_s / 1e3),
+                     FormatDecimal(c.calls_per_s, 1)});
       return Show(report, json) ? 0 : 1;
     }
     if (*slopes) {
@@ -186,9 +187,10 @@
                    "N there", "seed", "broken"});
     int broken = 0;
     for (const auto& r : gateway::lab::RunCold(points, cold_seeds, threads)) {
-      report.Row({r.name, std::to_string(r.seeds), Figure(r.worst.ratio), Figure(r.worst.told_ratio),
-                  Figure(r.most_told), Figure(r.mean_ratio), Figure(r.worst.allowed, 1),
-                  std::to_string(r.worst_seed), std::to_string(r.broken)});
+      report.AddRow({r.name, std::to_string(r.seeds), FormatDecimal(r.worst.ratio),
+                     FormatDecimal(r.worst.told_ratio), FormatDecimal(r.most_told),
+                     FormatDecimal(r.mean_ratio), FormatDecimal(r.worst.allowed, 1),
+                     std::to_string(r.worst_seed), std::to_string(r.broken)});
       broken += r.broken;
     }
     return Show(report, json) && broken == 0 ? 0 : 1;
--- a/lab/report.h
+++ b/lab/report.h
@@ -3,6 +3,7 @@
 #define GATEWAY_LAB_REPORT_H_
 
 #include <string>
+#include <utility>
 #include <vector>
 
 namespace gateway::lab {
@@ -11,10 +12,14 @@
  public:
   Report(std::string title, std::vector<std::string> columns)
       : title_(std::move(title)), columns_(std::move(columns)) {}
-  // One text a column.
-  void Row(std::vector<std::string> cells) { rows_.push_back(std::move(cells)); }
-  std::string Table() const;  // in Markdown
-  std::string Json() const;   // {"title": ..., "rows": [{column: cell}]}
+
+  // One text for each column.
+  void AddRow(std::vector<std::string> cells) { rows_.push_back(std::move(cells)); }
+
+  // A heading and a Markdown table.
+  std::string ToMarkdown() const;
+  // {"title": ..., "rows": [{column: cell}]}
+  std::string ToJson() const;
 
  private:
   std::string title_;
@@ -22,15 +27,43 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-// With so many digits after the point.
-std::string Figure(double value, int digits = 2);
-
-// Least squares of the relative errors through points (x, y), y above 0: y = at + slope x, and the largest
-// error of a point as a share of it.
-struct Line {
-  double at = 0, slope = 0, error = 0;
+// One column of a report whose rows are all of one type.
+template <typename Row>
+struct Column {
+  const char* title;
+  std::string (*format)(const Row& row);
 };
-Line Fit(const std::vector<double>& x, const std::vector<double>& y);
+
+// The titles of `columns`, in their order.
+template <typename Row>
+std::vector<std::string> ColumnTitles(const std::vector<Column<Row>>& columns) {
+  std::vector<std::string> titles;
+  for (const Column<Row>& column : columns) titles.emplace_back(column.title);
+  return titles;
+}
+
+// The cells of one row, in the order of `columns`.
+template <typename Row>
+std::vector<std::string> FormatRow(const std::vector<Column<Row>>& columns, const Row& row) {
+  std::vector<std::string> cells;
+  for (const Column<Row>& column : columns) cells.push_back(column.format(row));
+  return cells;
+}
+
+// A report with one row for each of `rows`.
+template <typename Row>
+Report MakeReport(const std::string& title, const std::vector<Column<Row>>& columns,
+                  const std::vector<Row>& rows) {
+  Report report(title, ColumnTitles(columns));
+  for (const Row& row : rows) report.AddRow(FormatRow(columns, row));
+  return report;
+}
+
+// With `digits` digits after the decimal point.
+std::string FormatDecimal(double value, int digits = 2);
+
+// `part` of `total` in per cent, with one digit and the sign; 0.0% where `total` is not above 0.
+std::string FormatPercent(double part, double total);
 
 }  // namespace gateway::lab
 
--- a/lab/slopes.cpp
+++ b/lab/slopes.cpp
@@ -5,9 +5,10 @@
 #include <algorithm>
 #include <memory>
 
-#include "lab/clock.h"
 #include "lab/control.h"
 #include "lab/fleet.h"
+#include "lab/line_fit.h"
+#include "lab/processor_clock.h"
 #include "lab/random.h"
 
 namespace gateway::lab {
@@ -15,8 +16,8 @@
 
 // Of a line whose x counts thousands once scaled.
 std::string FitText(const Line& line, const char* unit) {
-  return Figure(line.at, 3) + " + " + Figure(line.slope * 1000, 3) + " " + unit + ", off by " +
-         Figure(100 * line.error, 0) + "% at the most";
+  return FormatDecimal(line.intercept, 3) + " + " + FormatDecimal(line.slope * 1000, 3) + " " + unit +
+         ", off by " + FormatDecimal(100 * line.max_relative_error, 0) + "% at the most";
 }
 
 }  // namespace
@@ -32,22 +33,22 @@
   std::vector<policy::Endpoint> list;
   for (int i = 0; i < backends; ++i) {
     policy::Endpoint b;
-    b.id = static_cast<uint32_t>(Mix(static_cast<uint64_t>(i)));
+    b.id = static_cast<uint32_t>(SplitMix64(static_cast<uint64_t>(i)));
     b.zone = i % 7;
     b.weight = 1;
     list.push_back(b);
   }
   size_t before = held();
-  double begun = ProcessorSeconds();
+  double begun = ThreadProcessorSeconds();
   module->OnEndpointUpdate(1000, policy::EndpointUpdateKind::kFull, list, &out);
-  cost.list_ms = 1e3 * (ProcessorSeconds() - begun);
+  cost.list_ms = 1e3 * (ThreadProcessorSeconds() - begun);
   cost.memory_bytes = static_cast<double>(held()) - static_cast<double>(before);
   // A second one is what a watch that fell behind brings while it serves.
-  begun = ProcessorSeconds();
+  begun = ThreadProcessorSeconds();
   module->OnEndpointUpdate(1000.1, policy::EndpointUpdateKind::kFull, list, &out);
-  cost.list_ms = std::max(cost.list_ms, 1e3 * (ProcessorSeconds() - begun));
+  cost.list_ms = std::max(cost.list_ms, 1e3 * (ThreadProcessorSeconds() - begun));
   int requests = std::clamp(4000000 / backends, 500, 100000);
-  begun = ProcessorSeconds();
+  begun = ThreadProcessorSeconds();
   double now = 1001;
   for (int i = 1; i <= requests; ++i) {
     out.clear();
@@ -68,7 +69,7 @@
       module->OnAttemptOutcome(now + 0.1, outcome, &out);
     }
   }
-  cost.decision_us = 1e6 * (ProcessorSeconds() - begun) / requests;
+  cost.decision_us = 1e6 * (ThreadProcessorSeconds() - begun) / requests;
   return cost;
 }
 
@@ -81,8 +82,8 @@
   std::vector<double> x, squares, decision, list;
   for (int n : sizes) {
     ModuleCost cost = MeasureModule(n);
-    module.Row({std::to_string(n), Figure(cost.decision_us), Figure(cost.list_ms, 3),
-                Figure(cost.memory_bytes / (1 << 20), 2)});
+    module.AddRow({std::to_string(n), FormatDecimal(cost.decision_us), FormatDecimal(cost.list_ms, 3),
+                   FormatDecimal(cost.memory_bytes / (1 << 20), 2)});
     if (n >= 200) {
       x.push_back(n);
       squares.push_back(1e-3 * n * n);
@@ -90,8 +91,8 @@
       list.push_back(cost.list_ms);
     }
   }
-  module.Row({"fit of all from 200 on", FitText(Fit(x, decision), "us a thousand backends"),
-              FitText(Fit(squares, list), "ms a million of their square"), "-"});
+  module.AddRow({"fit of all from 200 on", FitText(FitLine(x, decision), "us a thousand backends"),
+                 FitText(FitLine(squares, list), "ms a million of their square"), "-"});
   reports.push_back(module);
 
   Report control("One real gateway on loopback",
@@ -108,9 +109,10 @@
       spec.changes_per_s = changes;
       spec.seconds = brief ? 1 : 4;
       ControlCount c = RunControl(spec);
-      control.Row({std::to_string(n), Figure(changes), Figure(c.ready_s, 3), Figure(c.start_cpu_s, 2),
-                   Figure(100 * c.cpu_share, 2), Figure(c.resident_mb, 1), Figure(c.list_bytes / 1e3, 1),
-                   Figure(c.bytes_per_s / 1e3, 2), Figure(c.calls_per_s, 1)});
+      control.AddRow({std::to_string(n), FormatDecimal(changes), FormatDecimal(c.ready_s, 3),
+                      FormatDecimal(c.start_cpu_s, 2), FormatDecimal(100 * c.cpu_share, 2),
+                      FormatDecimal(c.resident_mb, 1), FormatDecimal(c.list_bytes / 1e3, 1),
+                      FormatDecimal(c.bytes_per_s / 1e3, 2), FormatDecimal(c.calls_per_s, 1)});
     }
   }
   reports.push_back(control);
@@ -130,7 +132,6 @@
                                {780, 6700, 17000, 120000, 20000, 1, 0.3, 1},
                                {780, 6700, 17000, 120000, 20000, 1, 0.002, 0.01}};
   if (brief) points.resize(2);
-  auto share = [](double part, double whole) { return Figure(whole > 0 ? 100 * part / whole : 0, 1) + "%"; };
   for (const Point& p : points) {
     FleetSpec spec;
     spec.gateways = p.gateways;
@@ -144,16 +145,19 @@
     if (p.gateways > 500) spec.zones = 7;
     FleetCount c = RunFleet(spec);
     double calls = static_cast<double>(c.calls), tries = static_cast<double>(c.tries);
-    fleet.Row(
-        {std::to_string(p.gateways) + " x " + std::to_string(p.backends), std::to_string(p.tenants),
-         Figure(p.rate, 0), Figure(p.counter, 0), Figure(calls / p.seconds, 0),
-         share(static_cast<double>(c.calls_late), calls), share(static_cast<double>(c.calls_busy), calls),
-         Figure(1e3 * c.added_s.Percentile(0.5)), Figure(1e3 * c.added_s.Percentile(0.99), 1),
-         share(c.added_s.ShareUpTo(0.0075), 1), Figure(c.Value(), 3), share(c.units_beyond, c.units_sent),
-         share(static_cast<double>(c.refused_with_room), tries),
-         share(static_cast<double>(c.reused), static_cast<double>(c.attempts)), Figure(c.connections_mean, 1),
-         Figure(c.connections_most, 0), Figure(c.connections_mean * p.backends / p.gateways, 0),
-         Figure(c.imbalance), Figure(c.decision_us)});
+    fleet.AddRow({std::to_string(p.gateways) + " x " + std::to_string(p.backends), std::to_string(p.tenants),
+                  FormatDecimal(p.rate, 0), FormatDecimal(p.counter, 0), FormatDecimal(calls / p.seconds, 0),
+                  FormatPercent(static_cast<double>(c.calls_late), calls),
+                  FormatPercent(static_cast<double>(c.calls_busy), calls),
+                  FormatDecimal(1e3 * c.added_s.Percentile(0.5)),
+                  FormatDecimal(1e3 * c.added_s.Percentile(0.99), 1),
+                  FormatPercent(c.added_s.ShareUpTo(0.0075), 1), FormatDecimal(c.Value(), 3),
+                  FormatPercent(c.units_beyond, c.units_sent),
+                  FormatPercent(static_cast<double>(c.refused_with_room), tries),
+                  FormatPercent(static_cast<double>(c.reused), static_cast<double>(c.attempts)),
+                  FormatDecimal(c.connections_mean, 1), FormatDecimal(c.connections_most, 0),
+                  FormatDecimal(c.connections_mean * p.backends / p.gateways, 0), FormatDecimal(c.imbalance),
+                  FormatDecimal(c.decision_us)});
   }
   reports.push_back(fleet);
   return reports;
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -9,22 +9,10 @@
 #include "lab/control.h"
 #include "lab/counter.h"
 #include "lab/fleet.h"
-#include "lab/histogram.h"
-#include "lab/random.h"
-#include "lab/report.h"
 
 namespace gateway::lab {
 namespace {
 
-TEST(Histogram, PercentilesOfAnExponentialAreThoseOfItsFormula) {
-  Histogram h;
-  Random random(3);
-  for (int i = 0; i < 200000; ++i) h.Add(random.Exponential(0.02));
-  for (double p : {0.5, 0.9, 0.99}) EXPECT_NEAR(h.Percentile(p) / (-0.02 * std::log(1 - p)), 1, 0.04) << p;
-  EXPECT_NEAR(h.ShareUpTo(0.02), 1 - std::exp(-1), 0.01);
-  EXPECT_NEAR(h.Mean(), 0.02, 0.0005);
-}
-
 TEST(Counter, ServesInTurnAtItsRateAndTurnsAwayPastItsLine) {
   CounterSpec spec;
   spec.calls_per_s = 100;
@@ -44,13 +32,6 @@
   EXPECT_EQ(counter.Call(16, 7, 0, 5).total, 0) << "forgotten after its life";
 }
 
-TEST(Report, FitsALine) {
-  Line line = Fit({1, 2, 5}, {3, 5, 11});
-  EXPECT_NEAR(line.slope, 2, 1e-9);
-  EXPECT_NEAR(line.at, 1, 1e-9);
-  EXPECT_NEAR(line.error, 0, 1e-9);
-}
-
 // One gateway sends a Poisson stream to one backend: a request finds the connection open unless the gap
 // before it was longer than the idle time.
 TEST(Fleet, ReusesConnectionsAsAPoissonStreamDoes) {
