--- a/lab/cold.h
+++ b/lab/cold.h
@@ -5,13 +5,13 @@
 #include <string>
 #include <vector>
 
-#include "lab/fleet.h"
+#include "lab/fleet_simulation.h"
 
 namespace gateway::lab {
 
 struct ColdPoint {
   std::string name;
-  FleetSpec spec;
+  FleetOptions spec;
 };
 // The corners: fleets of 3 to 300 gateways; backends of 1 to 8 cores; several classes; uneven traffic; a
 // restart in a burst; gateways that were quiet; lists that reach some late; several restarts.
@@ -20,7 +20,7 @@
 struct ColdResult {
   std::string name;
   int seeds = 0, broken = 0;
-  ColdWindow worst;       // over all seeds
+  SlowStartWindow worst;  // over all seeds
   double mean_ratio = 0;  // of the worst windows of the seeds
   double most_told = 0;   // of all windows of all seeds
   uint64_t worst_seed = 0;
--- a/lab/histogram.h
+++ b/lab/histogram.h
@@ -27,7 +27,7 @@
   // The upper edge of the bin at which `share` (0 to 1) of all values is reached; 0 where there are no
   // values.
   double Percentile(double share) const {
-    uint64_t wanted = static_cast<uint64_t>(std::ceil(share * static_cast<double>(count_)));
+    auto wanted = static_cast<uint64_t>(std::ceil(share * static_cast<double>(count_)));
     uint64_t seen = 0;
     for (size_t i = 0; i < kBins; ++i) {
       seen += bins_[i];
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -9,14 +9,14 @@
 
 #include "lab/cold.h"
 #include "lab/control.h"
-#include "lab/fleet.h"
+#include "lab/fleet_simulation.h"
 #include "lab/report.h"
 #include "lab/slopes.h"
 
 namespace {
 
-using gateway::lab::FleetCount;
-using gateway::lab::FleetSpec;
+using gateway::lab::FleetMetrics;
+using gateway::lab::FleetOptions;
 using gateway::lab::FormatDecimal;
 using gateway::lab::Report;
 
@@ -31,29 +31,31 @@
   return false;
 }
 
-void AddRow(Report* report, const FleetSpec& spec, const FleetCount& c) {
-  double tries = static_cast<double>(c.tries), firsts = static_cast<double>(c.first_tries);
-  report->AddRow(
-      {std::to_string(spec.gateways) + " x " + std::to_string(spec.backends),
-       std::to_string(spec.seed),
-       std::to_string(c.first_tries),
-       gateway::lab::FormatPercent(static_cast<double>(c.in_time), firsts),
-       FormatDecimal(c.Value(), 3),
-       gateway::lab::FormatPercent(static_cast<double>(c.held), tries),
-       FormatDecimal(1e3 * c.added_s.Percentile(0.5), 2),
-       FormatDecimal(1e3 * c.added_s.Percentile(0.99), 1),
-       gateway::lab::FormatPercent(c.added_s.ShareUpTo(0.0075), 1),
-       FormatDecimal(static_cast<double>(c.calls) / spec.seconds, 0),
-       gateway::lab::FormatPercent(static_cast<double>(c.calls_late), static_cast<double>(c.calls)),
-       gateway::lab::FormatPercent(static_cast<double>(c.calls_busy), static_cast<double>(c.calls)),
-       gateway::lab::FormatPercent(c.units_beyond, c.units_sent),
-       gateway::lab::FormatPercent(static_cast<double>(c.refused_with_room), tries),
-       gateway::lab::FormatPercent(static_cast<double>(c.reused), static_cast<double>(c.attempts)),
-       FormatDecimal(c.connections_mean, 1),
-       FormatDecimal(c.connections_most, 0),
-       FormatDecimal(c.imbalance, 2),
-       FormatDecimal(c.list_bytes / spec.gateways / spec.seconds / 1e3, 2),
-       FormatDecimal(c.decision_us, 2)});
+void AddRow(Report* report, const FleetOptions& spec, const FleetMetrics& c) {
+  double tries = static_cast<double>(c.requests), firsts = static_cast<double>(c.first_requests);
+  report->AddRow({std::to_string(spec.gateways) + " x " + std::to_string(spec.backends),
+                  std::to_string(spec.seed),
+                  std::to_string(c.first_requests),
+                  gateway::lab::FormatPercent(static_cast<double>(c.served_in_time), firsts),
+                  FormatDecimal(c.ValueShare(), 3),
+                  gateway::lab::FormatPercent(static_cast<double>(c.delayed), tries),
+                  FormatDecimal(1e3 * c.added_latency_s.Percentile(0.5), 2),
+                  FormatDecimal(1e3 * c.added_latency_s.Percentile(0.99), 1),
+                  gateway::lab::FormatPercent(c.added_latency_s.ShareUpTo(0.0075), 1),
+                  FormatDecimal(static_cast<double>(c.counter_calls) / spec.traffic.measured_s, 0),
+                  gateway::lab::FormatPercent(static_cast<double>(c.counter_calls_late),
+                                              static_cast<double>(c.counter_calls)),
+                  gateway::lab::FormatPercent(static_cast<double>(c.counter_calls_rejected),
+                                              static_cast<double>(c.counter_calls)),
+                  gateway::lab::FormatPercent(c.over_quota_units, c.forwarded_units),
+                  gateway::lab::FormatPercent(static_cast<double>(c.rejected_with_quota), tries),
+                  gateway::lab::FormatPercent(static_cast<double>(c.connections_reused),
+                                              static_cast<double>(c.attempts)),
+                  FormatDecimal(c.mean_connections, 1),
+                  FormatDecimal(c.max_connections, 0),
+                  FormatDecimal(c.imbalance, 2),
+                  FormatDecimal(c.endpoint_list_bytes / spec.gateways / spec.traffic.measured_s / 1e3, 2),
+                  FormatDecimal(c.decision_us, 2)});
 }
 
 Report FleetReport(const std::string& title) {
@@ -87,31 +89,41 @@
   std::string json;
   app.add_option("--json", json, "also write the report to this file, as JSON");
 
-  FleetSpec spec;
+  FleetOptions spec;
   int seeds = 1;
   auto* fleet = app.add_subcommand("fleet", "real modules in simulated time before hollow backends");
   fleet->add_option("--gateways", spec.gateways)->check(CLI::Range(1, 2000))->capture_default_str();
   fleet->add_option("--backends", spec.backends)->check(CLI::Range(1, 10000))->capture_default_str();
-  fleet->add_option("--tenants", spec.tenants)->check(CLI::Range(1, 100000))->capture_default_str();
+  fleet->add_option("--tenants", spec.tenants.count)->check(CLI::Range(1, 100000))->capture_default_str();
   fleet->add_option("--zones", spec.zones)->check(CLI::Range(1, 64))->capture_default_str();
-  fleet->add_option("--classes", spec.classes)->check(CLI::Range(1, 64))->capture_default_str();
-  fleet->add_option("--rate", spec.requests_per_s, "first tries a second, of all clients")
+  fleet->add_option("--classes", spec.traffic.request_classes)
+      ->check(CLI::Range(1, 64))
+      ->capture_default_str();
+  fleet->add_option("--rate", spec.traffic.requests_per_s, "first tries a second, of all clients")
       ->check(CLI::PositiveNumber)
       ->capture_default_str();
-  fleet->add_option("--seconds", spec.seconds)->check(CLI::Range(0.1, 600.0))->capture_default_str();
-  fleet->add_option("--spread-low", spec.spread_low, "least share of the gateways a tenant comes through")
+  fleet->add_option("--seconds", spec.traffic.measured_s)
+      ->check(CLI::Range(0.1, 600.0))
+      ->capture_default_str();
+  fleet
+      ->add_option("--spread-low", spec.tenants.min_ingress_share,
+                   "least share of the gateways a tenant comes through")
+      ->check(CLI::Range(0.0, 1.0))
+      ->capture_default_str();
+  fleet->add_option("--spread-high", spec.tenants.max_ingress_share)
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
-  fleet->add_option("--spread-high", spec.spread_high)->check(CLI::Range(0.0, 1.0))->capture_default_str();
   fleet->add_option("--counter-rate", spec.counter.calls_per_s, "calls a second that the counter bears")
       ->check(CLI::PositiveNumber)
       ->capture_default_str();
-  fleet->add_option("--replaced", spec.replaced_share, "share of the backends that start anew")
+  fleet->add_option("--replaced", spec.restarts.backend_share, "share of the backends that start anew")
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
-  fleet->add_option("--silent-at", spec.counter_silent_at_s, "when the counter falls silent; below 0: never")
+  fleet
+      ->add_option("--silent-at", spec.counter_outage.start_s,
+                   "when the counter falls silent; below 0: never")
       ->capture_default_str();
-  fleet->add_option("--silent-for", spec.counter_silent_s)->capture_default_str();
+  fleet->add_option("--silent-for", spec.counter_outage.duration_s)->capture_default_str();
   fleet->add_option("--seed", spec.seed)->capture_default_str();
   fleet->add_option("--seeds", seeds, "so many seeds from the first")
       ->check(CLI::Range(1, 1000))
@@ -173,7 +185,7 @@
   if (*fleet) {
     Report report = FleetReport("The fleet in simulated time");
     for (int i = 0; i < seeds; ++i) {
-      FleetCount count = gateway::lab::RunFleet(spec);
+      FleetMetrics count = gateway::lab::SimulateFleet(spec);
       AddRow(&report, spec, count);
       ++spec.seed;
     }
@@ -187,9 +199,9 @@
                    "N there", "seed", "broken"});
     int broken = 0;
     for (const auto& r : gateway::lab::RunCold(points, cold_seeds, threads)) {
-      report.AddRow({r.name, std::to_string(r.seeds), FormatDecimal(r.worst.ratio),
-                     FormatDecimal(r.worst.told_ratio), FormatDecimal(r.most_told),
-                     FormatDecimal(r.mean_ratio), FormatDecimal(r.worst.allowed, 1),
+      report.AddRow({r.name, std::to_string(r.seeds), FormatDecimal(r.worst.load_ratio),
+                     FormatDecimal(r.worst.notified_load_ratio), FormatDecimal(r.most_told),
+                     FormatDecimal(r.mean_ratio), FormatDecimal(r.worst.work_allowed, 1),
                      std::to_string(r.worst_seed), std::to_string(r.broken)});
       broken += r.broken;
     }
--- a/lab/slopes.cpp
+++ b/lab/slopes.cpp
@@ -6,7 +6,8 @@
 #include <memory>
 
 #include "lab/control.h"
-#include "lab/fleet.h"
+#include "lab/fleet_settings.h"
+#include "lab/fleet_simulation.h"
 #include "lab/line_fit.h"
 #include "lab/processor_clock.h"
 #include "lab/random.h"
@@ -23,13 +24,13 @@
 }  // namespace
 
 ModuleCost MeasureModule(int backends) {
-  FleetSpec spec;
+  FleetOptions spec;
   spec.gateways = 780;
-  spec.quotas = false;
+  spec.quotas.enabled = false;
   policy::Actions out;
   ModuleCost cost;
   auto held = [] { return mallinfo2().uordblks + mallinfo2().hblkhd; };  // small and large pieces
-  auto module = std::make_unique<policy::AdmissionPolicy>(FleetSettings(spec), 1, 1000, &out);
+  auto module = std::make_unique<policy::AdmissionPolicy>(MakeGatewaySettings(spec), 1, 1000, &out);
   std::vector<policy::Endpoint> list;
   for (int i = 0; i < backends; ++i) {
     policy::Endpoint b;
@@ -133,30 +134,30 @@
                                {780, 6700, 17000, 120000, 20000, 1, 0.002, 0.01}};
   if (brief) points.resize(2);
   for (const Point& p : points) {
-    FleetSpec spec;
+    FleetOptions spec;
     spec.gateways = p.gateways;
     spec.backends = p.backends;
-    spec.tenants = p.tenants;
-    spec.requests_per_s = p.rate;
+    spec.tenants.count = p.tenants;
+    spec.traffic.requests_per_s = p.rate;
     spec.counter.calls_per_s = p.counter;
-    spec.seconds = p.seconds;
-    spec.spread_low = p.spread_low;
-    spec.spread_high = p.spread_high;
+    spec.traffic.measured_s = p.seconds;
+    spec.tenants.min_ingress_share = p.spread_low;
+    spec.tenants.max_ingress_share = p.spread_high;
     if (p.gateways > 500) spec.zones = 7;
-    FleetCount c = RunFleet(spec);
-    double calls = static_cast<double>(c.calls), tries = static_cast<double>(c.tries);
+    FleetMetrics c = SimulateFleet(spec);
+    double calls = static_cast<double>(c.counter_calls), tries = static_cast<double>(c.requests);
     fleet.AddRow({std::to_string(p.gateways) + " x " + std::to_string(p.backends), std::to_string(p.tenants),
                   FormatDecimal(p.rate, 0), FormatDecimal(p.counter, 0), FormatDecimal(calls / p.seconds, 0),
-                  FormatPercent(static_cast<double>(c.calls_late), calls),
-                  FormatPercent(static_cast<double>(c.calls_busy), calls),
-                  FormatDecimal(1e3 * c.added_s.Percentile(0.5)),
-                  FormatDecimal(1e3 * c.added_s.Percentile(0.99), 1),
-                  FormatPercent(c.added_s.ShareUpTo(0.0075), 1), FormatDecimal(c.Value(), 3),
-                  FormatPercent(c.units_beyond, c.units_sent),
-                  FormatPercent(static_cast<double>(c.refused_with_room), tries),
-                  FormatPercent(static_cast<double>(c.reused), static_cast<double>(c.attempts)),
-                  FormatDecimal(c.connections_mean, 1), FormatDecimal(c.connections_most, 0),
-                  FormatDecimal(c.connections_mean * p.backends / p.gateways, 0), FormatDecimal(c.imbalance),
+                  FormatPercent(static_cast<double>(c.counter_calls_late), calls),
+                  FormatPercent(static_cast<double>(c.counter_calls_rejected), calls),
+                  FormatDecimal(1e3 * c.added_latency_s.Percentile(0.5)),
+                  FormatDecimal(1e3 * c.added_latency_s.Percentile(0.99), 1),
+                  FormatPercent(c.added_latency_s.ShareUpTo(0.0075), 1), FormatDecimal(c.ValueShare(), 3),
+                  FormatPercent(c.over_quota_units, c.forwarded_units),
+                  FormatPercent(static_cast<double>(c.rejected_with_quota), tries),
+                  FormatPercent(static_cast<double>(c.connections_reused), static_cast<double>(c.attempts)),
+                  FormatDecimal(c.mean_connections, 1), FormatDecimal(c.max_connections, 0),
+                  FormatDecimal(c.mean_connections * p.backends / p.gateways, 0), FormatDecimal(c.imbalance),
                   FormatDecimal(c.decision_us)});
   }
   reports.push_back(fleet);
