--- a/lab/report.h
+++ b/lab/report.h
@@ -38,6 +38,7 @@
 template <typename Row>
 std::vector<std::string> ColumnTitles(const std::vector<Column<Row>>& columns) {
   std::vector<std::string> titles;
+  titles.reserve(columns.size());
   for (const Column<Row>& column : columns) titles.emplace_back(column.title);
   return titles;
 }
@@ -46,6 +47,7 @@
 template <typename Row>
 std::vector<std::string> FormatRow(const std::vector<Column<Row>>& columns, const Row& row) {
   std::vector<std::string> cells;
+  cells.reserve(columns.size());
   for (const Column<Row>& column : columns) cells.push_back(column.format(row));
   return cells;
 }
