--- a/lab/fleet_options.h
+++ b/lab/fleet_options.h
@@ -32,7 +32,7 @@
 
 struct TrafficOptions {
   double requests_per_s = 140;  // of all clients, without their retries
-  double quiet_s = 0;           // a time of a tenth of the load, before the measured time
+  double quiet_s = 0;           // of a tenth of that load, before the measured time
   double measured_s = 20;
   int request_classes = 1;    // which differ in their mean work
   double mean_work_s = 0.18;  // of a request, on one core; scaled to `utilization`
--- a/lab/fleet_simulation.h
+++ b/lab/fleet_simulation.h
@@ -30,11 +30,12 @@
   FleetSimulation(const FleetSimulation&) = delete;
   FleetSimulation& operator=(const FleetSimulation&) = delete;
 
-  // Plays the quiet and the measured time, and until the last request has ended. Called once.
+  // Runs through the quiet and the measured time, and until the last request has ended. Called once.
   FleetMetrics Run();
 
  private:
-  // Set-up, in this order: each draws from random_.
+  // Set-up. The order of draws from random_ decides the run: restarts are drawn after the tenants and before
+  // the first request.
   void StartGateways();
   void ScheduleRestarts();
   void ScheduleCounterOutage();
@@ -98,6 +99,7 @@
   FleetMetricsRecorder recorder_;
 };
 
+// Makes one run. Thread-safe.
 FleetMetrics SimulateFleet(const FleetOptions& options);
 
 }  // namespace gateway::lab
--- a/lab/tenant_model.cpp
+++ b/lab/tenant_model.cpp
@@ -41,11 +41,10 @@
       plans_(std::move(plans)) {
   double requests_per_s = 0, in_quota_requests_per_s = 0;
   for (int i = 0; i < options_.count; ++i) {
-    double utilization = 0;
-    Tenant tenant = DrawNewTenant(random, &utilization);
+    Tenant tenant = DrawNewTenant(random);
     requests_per_s += tenant.requests_per_s;
-    in_quota_requests_per_s +=
-        std::min(1.0, utilization) * PlanOf(tenant).rate_units_per_s / MeanCostUnits(max_cost_units_);
+    in_quota_requests_per_s += std::min(1.0, tenant.quota_utilization) * PlanOf(tenant).rate_units_per_s /
+                               MeanCostUnits(max_cost_units_);
     tenants_.push_back(tenant);
   }
   double scale = options.traffic.requests_per_s / std::max(kMinRequestsPerS, requests_per_s);
@@ -60,15 +59,16 @@
   }
 }
 
-TenantModel::Tenant TenantModel::DrawNewTenant(Random* random, double* utilization) const {
+TenantModel::Tenant TenantModel::DrawNewTenant(Random* random) const {
   Tenant tenant;
   tenant.plan = random->Uniform() < kBasicPlanShare ? 0 : 1;
   double ingress_share = random->Between(options_.min_ingress_share, options_.max_ingress_share);
   tenant.ingress_gateways = std::clamp(static_cast<int>(std::lround(ingress_share * gateways_)),
                                        std::min(kMinIngressGateways, gateways_), gateways_);
   tenant.first_gateway = random->Below(gateways_);
-  *utilization = DrawQuotaUtilization(random);
-  tenant.requests_per_s = *utilization * PlanOf(tenant).rate_units_per_s / MeanCostUnits(max_cost_units_);
+  tenant.quota_utilization = DrawQuotaUtilization(random);
+  tenant.requests_per_s =
+      tenant.quota_utilization * PlanOf(tenant).rate_units_per_s / MeanCostUnits(max_cost_units_);
   return tenant;
 }
 
--- a/lab/tenant_model.h
+++ b/lab/tenant_model.h
@@ -3,6 +3,7 @@
 #ifndef GATEWAY_LAB_TENANT_MODEL_H_
 #define GATEWAY_LAB_TENANT_MODEL_H_
 
+#include <cstddef>
 #include <vector>
 
 #include "lab/fleet_options.h"
@@ -52,7 +53,8 @@
   struct Tenant {
     int plan = 0;
     int first_gateway = 0;
-    int ingress_gateways = 1;  // from the first, in a ring
+    int ingress_gateways = 1;      // from the first, in a ring
+    double quota_utilization = 0;  // demand over the rate of its plan
     double requests_per_s = 0;
     QuotaBucket quota;        // charged with what was forwarded
     QuotaBucket ideal_quota;  // charged with all requests for which there was quota
@@ -61,8 +63,8 @@
   Tenant& at(int tenant) { return tenants_[static_cast<size_t>(tenant)]; }
   const Tenant& at(int tenant) const { return tenants_[static_cast<size_t>(tenant)]; }
   const policy::PlanSettings& PlanOf(const Tenant& tenant) const;
-  // Draws one tenant but for its quotas. `utilization`: of its quota.
-  Tenant DrawNewTenant(Random* random, double* utilization) const;
+  // Draws one tenant but for its quotas.
+  Tenant DrawNewTenant(Random* random) const;
   void ScalePlans(double factor);
 
   const TenantOptions options_;
--- a/tests/lab/counter_model_test.cpp
+++ b/tests/lab/counter_model_test.cpp
@@ -20,7 +20,7 @@
   CounterModel counter(options);
   constexpr uint64_t kKey = 7;
   constexpr double kExpiryS = 5;
-  // 100 calls at once. The queue of half a second has room for 50 beside the one in service.
+  // 100 calls at once. The queue of half a second holds 50 beside the one in service.
   for (int i = 0; i < 51; ++i) ExpectCounted(counter.Call(10, kKey, 1, kExpiryS), 10 + i / 100.0, i + 1);
   for (int i = 51; i < 100; ++i) {
     EXPECT_EQ(counter.Call(10, kKey, 1, kExpiryS).status, CounterModel::ReplyStatus::kRejected);
