--- a/src/simulator/frame_error.h
+++ b/src/simulator/frame_error.h
@@ -5,7 +5,8 @@
 
 namespace gateway::simulator {
 
-// What is wrong with a frame, or with the stream of frames. what() is a whole message.
+// A frame, or the stream of frames, that does not follow the simulator's protocol, or that cannot be written.
+// what() is a complete message.
 class FrameError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
