--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,52 +1,54 @@
-// The smallest embedding: one gateway, one plan, one request from arrival to answer.
+// The smallest program around the decision module: one gateway with one class and one plan, and one request
+// from its arrival to its answer. Prints the backend that was chosen; ends with status 1 if none was.
 #include <cstdio>
 
 #include "policy/admission_policy.h"
 
 int main() {
-  gateway::policy::Settings site;
-  site.gateway_count = 1;
-  site.timer_resolution_s = 0.002;
-  site.discovery_is_pushed = true;
-  site.max_request_units = 4;
-  site.max_attempts = 3;
-  site.slow_start_initial_fraction = 0.2;
-  site.slow_start_duration_s = 15;
-  site.overload_multiple = 2;
-  gateway::policy::ClassSettings read;
-  read.latency_objective_s = 0.5;
-  read.deadline_s = 1.5;
-  read.priority_weight = 1;
-  site.classes.push_back(read);
+  gateway::policy::Settings settings;
+  settings.gateway_count = 1;
+  settings.timer_resolution_s = 0.002;
+  settings.discovery_is_pushed = true;
+  settings.max_request_units = 4;
+  settings.max_attempts = 3;
+  settings.slow_start_initial_fraction = 0.2;
+  settings.slow_start_duration_s = 15;
+  settings.overload_multiple = 2;
+  gateway::policy::ClassSettings request_class;
+  request_class.latency_objective_s = 0.5;
+  request_class.deadline_s = 1.5;
+  request_class.priority_weight = 1;
+  settings.classes.push_back(request_class);
   gateway::policy::PlanSettings plan;
   plan.rate_units_per_s = 2;
   plan.burst_units = 6;
   plan.over_quota_penalty = 1;
-  site.plans.push_back(plan);
+  settings.plans.push_back(plan);
 
   gateway::policy::Actions actions;
-  double now = 1000;  // your own clock, in seconds, the same at every gateway
-  gateway::policy::AdmissionPolicy gateway_policy(site, 42, now, &actions);
-  gateway::policy::Endpoint backend;
-  backend.id = 7;
-  gateway_policy.OnEndpointUpdate(now, gateway::policy::EndpointUpdateKind::kFull, {backend}, &actions);
+  double now_s = 1000;  // any clock that all gateways share
+  gateway::policy::AdmissionPolicy policy(settings, /*seed=*/42, now_s, &actions);
+  gateway::policy::Endpoint endpoint;
+  endpoint.id = 7;
+  policy.OnEndpointUpdate(now_s, gateway::policy::EndpointUpdateKind::kFull, {endpoint}, &actions);
 
   gateway::policy::Request request;
   request.id = 1;
   request.tenant = 99;
   request.time_left_s = 1.2;
   request.cost_units = 1;
-  gateway_policy.OnRequest(now, request, &actions);
+  policy.OnRequest(now_s, request, &actions);
   for (const gateway::policy::Action& action : actions) {
     const auto* forward = std::get_if<gateway::policy::ForwardAttempt>(&action);
     if (forward == nullptr) continue;
     std::printf("forward request %u to backend %u\n", forward->request_id, forward->backend_id);
+    // The backend answers 50 ms later, and the answer goes to the client.
     gateway::policy::AttemptOutcome outcome;
     outcome.request_id = forward->request_id;
     outcome.backend_id = forward->backend_id;
     outcome.request_finished = true;
     actions.clear();
-    gateway_policy.OnAttemptOutcome(now + 0.05, outcome, &actions);
+    policy.OnAttemptOutcome(now_s + 0.05, outcome, &actions);
     return 0;
   }
   std::printf("rejected\n");
