--- /dev/null
+++ b/src/net/http_framing.cpp
@@ -0,0 +1,19 @@
+#include "net/http_framing.h"
+
+#include <algorithm>
+
+namespace gateway::net {
+
+error_code CheckHead(std::string_view bytes, bool* complete) {
+  size_t end = bytes.find("\r\n\r\n");
+  *complete = end != std::string_view::npos;
+  if (std::min(end, bytes.size()) > kMaxHeader) return http::error::header_limit;
+  if (!*complete) return {};
+  std::string_view head = bytes.substr(0, end);
+  for (std::string_view fold : {"\r\n ", "\r\n\t"}) {
+    if (head.find(fold) != std::string_view::npos) return http::error::bad_obs_fold;
+  }
+  return {};
+}
+
+}  // namespace gateway::net
