--- /dev/null
+++ b/src/net/backend_membership.cpp
@@ -0,0 +1,46 @@
+#include "net/backend_membership.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace gateway::net {
+
+using policy::EndpointState;
+
+void BackendMembership::Apply(const EndpointList& list, policy::EndpointUpdateKind kind) {
+  for (const ListedEndpoint& listed : list.entries) {
+    uint32_t id = listed.backend.id;
+    switch (listed.backend.state) {
+      case EndpointState::kReady: pool_.Update(id, listed.address); break;
+      case EndpointState::kDraining: pool_.Drain(id, list.told); break;
+      case EndpointState::kRemoved: pool_.Remove(id); break;
+    }
+  }
+  if (kind == policy::EndpointUpdateKind::kDelta) {
+    ChangeMembers(list);
+  } else {
+    ReplaceMembers(list);
+  }
+}
+
+void BackendMembership::ReplaceMembers(const EndpointList& list) {
+  std::vector<uint32_t> named;
+  for (const ListedEndpoint& listed : list.entries) {
+    if (listed.backend.state != EndpointState::kRemoved) named.push_back(listed.backend.id);
+  }
+  for (uint32_t id : members_) {
+    if (std::find(named.begin(), named.end(), id) == named.end()) pool_.Remove(id);
+  }
+  members_ = std::move(named);
+}
+
+void BackendMembership::ChangeMembers(const EndpointList& list) {
+  for (const ListedEndpoint& listed : list.entries) {
+    auto member = std::find(members_.begin(), members_.end(), listed.backend.id);
+    bool removed = listed.backend.state == EndpointState::kRemoved;
+    if (removed && member != members_.end()) members_.erase(member);
+    if (!removed && member == members_.end()) members_.push_back(listed.backend.id);
+  }
+}
+
+}  // namespace gateway::net
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -1,128 +1,101 @@
-// The only caller of the decision module: turns what happens on sockets into its calls, and its actions into
-// work. Owns request ids, timers and the clock. Decides nothing.
+// The event loop's side of the admission policy: gives it what happens on sockets as events, and carries out
+// its actions on the sockets. Decides nothing.
 #ifndef GATEWAY_NET_GATEWAY_H_
 #define GATEWAY_NET_GATEWAY_H_
 
-#include <algorithm>
-#include <memory>
+#include <cstdint>
 #include <optional>
-#include <queue>
-#include <string>
 #include <string_view>
-#include <unordered_map>
-#include <unordered_set>
-#include <vector>
 
 #include "config/gateway_config.h"
 #include "net/backend_connection_pool.h"
+#include "net/backend_membership.h"
 #include "net/client_server.h"
 #include "net/counter_client.h"
 #include "net/discovery_client.h"
+#include "net/graceful_shutdown.h"
+#include "net/in_flight_requests.h"
+#include "net/request_parser.h"
+#include "net/timer_queue.h"
 #include "policy/admission_policy.h"
 
 namespace gateway::net {
 
-// What a client's message says; `status` is 0 where it is sound, else the answer to give.
-struct ClientCall {
-  int status = 0;
-  policy::Request request;
-  double timeout_s = 0;
-  std::string_view id;  // in the message
-};
-ClientCall ReadCall(const ClientRequest& message, const config::GatewayConfig& config);
-
-class Gateway {
+// One gateway. Single-threaded: everything runs in handlers of `io`, and no handler runs within a call of the
+// policy. A request is in `requests_` from its arrival until it is answered and no attempt of it is in
+// flight; it gets exactly one final answer (Answer), or its client leaves first (OnConnectionClosed).
+class Gateway : private TimerQueue::Handler {
  public:
+  // Listens, and begins to follow discovery. `config` outlives the gateway. Throws config::ConfigError where
+  // the cached endpoint list of the configuration is unreadable, and boost::system::system_error where the
+  // address cannot be listened on.
   Gateway(asio::io_context& io, const config::GatewayConfig& config);
   ~Gateway();
 
   tcp::endpoint local() const { return server_.local(); }
-  // Goes on serving what comes, asks clients to close, and stops the io_context when nothing is held any more
-  // or the time for that is over.
+
+  // Begins a graceful shutdown; at its end `io` is stopped.
   void Shutdown();
-  // Moves to the discovery and counter that it names. Throws config::ConfigError, and changes nothing, where
-  // it is not this gateway's.
+
+  // Switches to the addresses of discovery and counter that `fresh` names. Throws config::ConfigError, and
+  // changes nothing, where `fresh` is another gateway's configuration.
   void Reload(const config::GatewayConfig& fresh);
 
  private:
-  struct Attempt {
-    uint32_t backend = 0;
-    uint64_t number = 0;  // the pool's
-    bool out = false;
-  };
-  struct Held {
-    uint64_t connection = 0;
-    std::string id;          // the client's
-    std::string head, body;  // of the message to backends, but for the time-out
-    Clock::time_point deadline;
-    std::vector<Attempt> attempts;
-    bool answered = false, may_have_run = false, free = false;
-    bool Out() const {
-      return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; });
-    }
-  };
-  enum class Due { kModule, kGuard };
-  struct Timer {
-    Clock::time_point at;
-    Due due;
-    uint64_t tag;
-    bool operator>(const Timer& other) const { return at > other.at; }
-  };
+  // Policy.
+  double PolicyNow() const;
+  template <typename Event>
+  void NotifyPolicy(Event event);
+  void Execute(const policy::ForwardAttempt& action);
+  void Execute(const policy::CancelAttempt& action);
+  void Execute(const policy::RejectRequest& action);
+  void Execute(const policy::FailRequest& action);
+  void Execute(const policy::StartTimer& action);
+  void Execute(const policy::CallCounter& action);
+  void Execute(const policy::LogEvent& action);
+  void Execute(const policy::PollDiscovery& action);
+
+  // Clients.
+  void OnClientMessage(uint64_t connection, ClientRequest message);
+  void OnConnectionClosed(uint64_t connection, bool had_unanswered_request);
+  void AnswerAdminRequest(uint64_t connection, std::string_view target);
+  void ReplyStatus(uint64_t connection, http::status status);
+  void Admit(uint64_t connection, ClientRequest* message, const ParsedRequest& parsed);  // takes the body
+  void Answer(uint32_t request_id, Response response);
+
+  // Attempts.
+  bool MayForward(const InFlightRequest& request, uint32_t request_id, double timeout_s);
+  void PostAttemptEnd(uint32_t request_id, int attempt, policy::CallResult result);
+  void DropUnsentAttempts(uint32_t request_id);
+  void OnAttemptEnd(uint32_t request_id, int attempt, AttemptResult end);
+  void ReportOutcome(uint32_t request_id, int attempt, const AttemptResult& end);
 
-  double Now() const;
-  template <typename Call>
-  void Tell(Call call);
-  void Act(const policy::Action& action);
-  void Act(const policy::ForwardAttempt& action);
-  void Act(const policy::CancelAttempt& action);
-  void Act(const policy::RejectRequest& action);
-  void Act(const policy::FailRequest& action);
-  void Act(const policy::StartTimer& action);
-  void Act(const policy::CallCounter& action);
-  void Act(const policy::LogEvent& action);
-  void Act(const policy::PollDiscovery& action);
-  void SendAttempt(const policy::ForwardAttempt& action);
-  std::string BackendMessage(uint32_t id, double left_s) const;
-  void CancelAttempt(const policy::CancelAttempt& action);
-  void PostEnd(uint32_t id, int attempt, bool ran);
-  void DropUnsent(uint32_t id);
-  void OnEnd(uint32_t id, int attempt, uint32_t backend, AttemptResult end);
-  void Report(uint32_t id, int attempt, uint32_t backend, const AttemptResult& end);
-  void Finish(uint32_t id, Response answer);
-  void Forget(uint32_t id);
-  void Guard(uint32_t id);
+  // Discovery.
+  void OnEndpointList(const EndpointList& list, policy::EndpointUpdateKind kind);
+  void OnDiscoveryFailed();
 
-  void OnMessage(uint64_t connection, ClientRequest message);
-  void OnClosed(uint64_t connection, bool held);
-  void OnList(const EndpointList& list, policy::EndpointUpdateKind kind);
-  void AddTimer(Clock::time_point at, Due due, uint64_t tag);
-  void ArmTimers();
-  void CheckShutdown();
-  Clock::time_point LastAnswer() const;
+  // TimerQueue::Handler.
+  void OnRequestDeadline(uint32_t request_id) override;
+  void OnPolicyTimer(uint64_t tag) override;
+  void OnTimersHandled() override { shutdown_.StopIfDone(); }
 
   asio::io_context& io_;
   const config::GatewayConfig& config_;
-  const double epoch_s_;  // the system's clock at the monotonic clock's zero
-  EndpointIds ids_;
-  std::vector<uint32_t> listed_;  // backends named by discovery and not gone
+  const double clock_offset_s_;  // the system's clock at the monotonic clock's zero
+  EndpointIds endpoint_ids_;
   BackendConnectionPool pool_;
+  BackendMembership membership_;
   ClientServer server_;
-  std::optional<CounterClient> counter_;
+  std::optional<CounterClient> counter_;  // none where the configuration names none
   DiscoveryClient discovery_;
-  std::unordered_map<uint32_t, Held> held_;
-  std::unordered_map<uint64_t, uint32_t> by_connection_;  // requests that are not answered
-  std::unordered_set<std::string> open_ids_;              // the clients' ids of what is held
-  uint32_t last_id_ = 0;
-  uint32_t looked_ = 0;     // the request that is being taken: its client was there a moment ago
-  uint32_t reporting_ = 0;  // the request of which an outcome is being told
-  std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
-  asio::steady_timer timer_;
-  std::optional<Clock::time_point> armed_;
-  policy::Actions actions_, acting_;
-  bool ready_ = false;
-  std::optional<Clock::time_point> shutdown_at_;
-  asio::steady_timer shutdown_timer_;
-  std::optional<policy::AdmissionPolicy> balancer_;
+  InFlightRequests requests_;
+  TimerQueue timers_;
+  GracefulShutdown shutdown_;
+  bool ready_ = false;  // discovery has given a list, or failed once
+  // The request for which the policy's OnRequest is being called. Its client was there a moment ago.
+  uint32_t arriving_request_id_ = kNoRequest;
+  policy::Actions actions_, executing_actions_;
+  std::optional<policy::AdmissionPolicy> policy_;
 };
 
 }  // namespace gateway::net
--- /dev/null
+++ b/src/net/in_flight_requests.cpp
@@ -0,0 +1,54 @@
+#include "net/in_flight_requests.h"
+
+#include <algorithm>
+
+namespace gateway::net {
+
+bool InFlightRequest::HasAttemptInFlight() const {
+  return std::any_of(attempts.begin(), attempts.end(),
+                     [](const InFlightAttempt& attempt) { return attempt.in_flight; });
+}
+
+uint32_t InFlightRequests::Add(uint64_t connection_id, std::string_view client_request_id) {
+  do {
+    ++last_id_;
+  } while (requests_.count(last_id_) != 0);
+  InFlightRequest& request = requests_[last_id_];
+  request.connection_id = connection_id;
+  request.client_request_id = client_request_id;
+  client_request_ids_.insert(request.client_request_id);
+  unanswered_by_connection_[connection_id] = last_id_;
+  return last_id_;
+}
+
+InFlightRequest* InFlightRequests::Find(uint32_t id) {
+  auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : &it->second;
+}
+
+std::optional<uint32_t> InFlightRequests::FindUnanswered(uint64_t connection_id) const {
+  auto it = unanswered_by_connection_.find(connection_id);
+  if (it == unanswered_by_connection_.end()) return std::nullopt;
+  return it->second;
+}
+
+bool InFlightRequests::IsClientRequestIdInUse(std::string_view client_request_id) const {
+  return client_request_ids_.count(std::string(client_request_id)) != 0;
+}
+
+void InFlightRequests::MarkAnswered(uint32_t id) {
+  InFlightRequest& request = requests_.at(id);
+  request.answered = true;
+  unanswered_by_connection_.erase(request.connection_id);
+}
+
+void InFlightRequests::EraseIfComplete(uint32_t id) {
+  auto it = requests_.find(id);
+  if (it == requests_.end() || id == outcome_request_id_) return;
+  const InFlightRequest& request = it->second;
+  if (!request.answered || request.HasAttemptInFlight()) return;
+  client_request_ids_.erase(request.client_request_id);
+  requests_.erase(it);
+}
+
+}  // namespace gateway::net
--- /dev/null
+++ b/src/net/request_parser.cpp
@@ -0,0 +1,159 @@
+#include "net/request_parser.h"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+#include <optional>
+#include <string>
+#include <system_error>
+#include <type_traits>
+#include <vector>
+
+#include "net/http_field_names.h"
+
+namespace gateway::net {
+namespace {
+
+using policy::Idempotency;
+
+constexpr unsigned long kMaxTimeoutMs = 60000;
+constexpr size_t kMaxRequestIdBytes = 64;
+constexpr size_t kMaxTenantDigits = 16;
+constexpr uint64_t kTenantNumberLimit = 1ULL << 33;  // tenants are numbered below it
+
+// A whole text as a number; none where anything else stands in it.
+template <typename T>
+std::optional<T> ParseNumber(std::string_view text, int base = 10) {
+  T value{};
+  std::from_chars_result result{};
+  const char* end = text.data() + text.size();
+  if constexpr (std::is_floating_point_v<T>) {
+    result = std::from_chars(text.data(), end, value);
+  } else {
+    result = std::from_chars(text.data(), end, value, base);
+  }
+  if (text.empty() || result.ec != std::errc() || result.ptr != end) return std::nullopt;
+  return value;
+}
+
+std::string_view Trim(std::string_view text) {
+  while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
+  while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+  return text;
+}
+
+// The value of `name` in a list of name=value items; none where it is absent or repeated.
+std::optional<std::string_view> FindListItem(std::string_view list, char separator, std::string_view name) {
+  std::optional<std::string_view> found;
+  while (!list.empty()) {
+    size_t end = std::min(list.find(separator), list.size());
+    std::string_view item = Trim(list.substr(0, end));
+    list.remove_prefix(std::min(end + 1, list.size()));
+    size_t equals = item.find('=');
+    if (equals == std::string_view::npos || Trim(item.substr(0, equals)) != name) continue;
+    if (found) return std::nullopt;
+    found = Trim(item.substr(equals + 1));
+  }
+  return found;
+}
+
+// -1 where the list has no such name.
+int IndexOfName(const std::vector<std::string>& names, std::string_view name) {
+  auto it = std::find(names.begin(), names.end(), config::PlainName(name));
+  return it == names.end() ? -1 : static_cast<int>(it - names.begin());
+}
+
+// The class is the first part of the path.
+bool ParseClassAndPlan(const ClientRequest& message, const config::DeploymentSettings& deployment,
+                       policy::Request* request) {
+  std::string_view target = View(message.target());
+  if (target.empty() || target.front() != '/') return false;
+  size_t end = std::min(target.find_first_of("/?#", 1), target.size());
+  request->request_class = IndexOfName(deployment.class_names, target.substr(1, end - 1));
+  request->plan = IndexOfName(deployment.plan_names, View(message[kPlanField]));
+  return request->request_class >= 0 && request->plan >= 0;
+}
+
+// A repeated field has two readings: the gateway might use one and a backend the other.
+bool HasRepeatedField(const ClientRequest& message) {
+  for (std::string_view name :
+       {std::string_view("Host"), std::string_view(kRequestIdField), std::string_view(kPlanField),
+        std::string_view("Cookie"), std::string_view(kTimeoutMsField), std::string_view(kIdempotencyKeyField),
+        std::string_view(kQuotaTermsField)}) {
+    if (message.count({name.data(), name.size()}) > 1) return true;
+  }
+  return false;
+}
+
+std::optional<uint64_t> ParseTenant(const ClientRequest& message) {
+  auto digits = FindListItem(View(message[http::field::cookie]), ';', kTenantCookie);
+  if (!digits || digits->size() > kMaxTenantDigits) return std::nullopt;
+  auto tenant = ParseNumber<uint64_t>(*digits, 16);
+  if (!tenant || *tenant >= kTenantNumberLimit) return std::nullopt;
+  return tenant;
+}
+
+std::optional<double> ParseTimeout(const ClientRequest& message, double deadline_s) {
+  auto timeout_ms = ParseNumber<unsigned long>(View(message[kTimeoutMsField]));
+  if (!timeout_ms || *timeout_ms < 1 || *timeout_ms > kMaxTimeoutMs) return std::nullopt;
+  return std::min(static_cast<double>(*timeout_ms) / 1000, deadline_s);
+}
+
+// The cost, and the gateways through which the tenant comes.
+bool ParseQuotaTerms(std::string_view terms, const policy::Settings& settings, policy::Request* request) {
+  auto cost_text = FindListItem(terms, ',', kCostUnitsTerm);
+  auto ingress_text = FindListItem(terms, ',', kIngressGatewaysTerm);
+  auto first_text = FindListItem(terms, ',', kFirstIngressGatewayTerm);
+  if (!cost_text || !ingress_text || !first_text) return false;
+
+  auto cost_units = ParseNumber<double>(*cost_text);
+  if (!cost_units || !std::isfinite(*cost_units) || *cost_units <= 0) return false;
+  if (settings.max_request_units > 0 && *cost_units > settings.max_request_units) return false;
+
+  int gateways = std::max(1, settings.gateway_count);
+  auto ingress_gateways = ParseNumber<int>(*ingress_text);
+  if (!ingress_gateways || *ingress_gateways < 1 || *ingress_gateways > gateways) return false;
+  auto first_gateway = ParseNumber<int>(*first_text);
+  if (!first_gateway || *first_gateway < 0 || *first_gateway >= gateways) return false;
+
+  request->cost_units = *cost_units;
+  request->ingress_gateways = *ingress_gateways;
+  return true;
+}
+
+}  // namespace
+
+RequestParseResult ParseClientRequest(const ClientRequest& message, const config::GatewayConfig& config) {
+  ParsedRequest parsed;
+  policy::Request& request = parsed.request;
+  if (!ParseClassAndPlan(message, config.site, &request)) return http::status::bad_request;
+  if (HasRepeatedField(message)) return http::status::bad_request;
+
+  parsed.client_request_id = View(message[kRequestIdField]);
+  if (parsed.client_request_id.empty() || parsed.client_request_id.size() > kMaxRequestIdBytes) {
+    return http::status::bad_request;
+  }
+
+  auto tenant = ParseTenant(message);
+  if (!tenant) return http::status::bad_request;
+  request.tenant = *tenant;
+
+  const policy::ClassSettings& class_settings =
+      config.settings.classes[static_cast<size_t>(request.request_class)];
+  auto timeout_s = ParseTimeout(message, class_settings.deadline_s);
+  if (!timeout_s) return http::status::bad_request;
+  parsed.timeout_s = *timeout_s;
+
+  if (!ParseQuotaTerms(View(message[kQuotaTermsField]), config.settings, &request)) {
+    return http::status::bad_request;
+  }
+  bool needs_key = class_settings.idempotency == Idempotency::kIdempotencyKey;
+  if (needs_key && View(message[kIdempotencyKeyField]).empty()) return http::status::bad_request;
+
+  parsed.idempotent = class_settings.idempotency == Idempotency::kIdempotent;
+  http::verb method = parsed.idempotent ? http::verb::get : http::verb::post;
+  if (message.method() != method) return http::status::method_not_allowed;
+  return parsed;
+}
+
+}  // namespace gateway::net
