--- a/src/net/backend_connection.h
+++ b/src/net/backend_connection.h
@@ -43,8 +43,8 @@
 // - any to kClosed: an attempt ends in any other way, the backend closes, or the owner calls Close or Abort.
 //
 // Ownership: the owner and the pending operations of the connection share it. The owner holds a reference
-// while an attempt is on it or it is idle. The owner must close all connections before it is destroyed; after
-// Close no callback runs.
+// while an attempt is on it or it is idle. The owner must close all connections before it is destroyed; once
+// Close or Abort has returned no callback runs.
 //
 // A read is pending in every state from kExchanging on, so that the end of an idle connection, or bytes that
 // nobody asked for, are seen while it is idle.
@@ -92,7 +92,7 @@
   // Ends the attempt without its completion, and closes the connection.
   void Abort();
 
-  // Closes the socket at once. No-op when closed.
+  // Closes the socket at once; no-op when closed. The completion of an attempt does not run: see Abort.
   void Close();
 
   // Whether the last byte of the attempt's request has been handed to the kernel. From then on it may have
