--- a/src/net/backend_membership.cpp
+++ b/src/net/backend_membership.cpp
@@ -8,11 +8,11 @@
 using policy::EndpointState;
 
 void BackendMembership::Apply(const EndpointList& list, policy::EndpointUpdateKind kind) {
-  for (const ListedEndpoint& listed : list.entries) {
-    uint32_t id = listed.backend.id;
-    switch (listed.backend.state) {
+  for (const ListedEndpoint& listed : list.endpoints) {
+    uint32_t id = listed.endpoint.id;
+    switch (listed.endpoint.state) {
       case EndpointState::kReady: pool_.Update(id, listed.address); break;
-      case EndpointState::kDraining: pool_.Drain(id, list.told); break;
+      case EndpointState::kDraining: pool_.Drain(id, list.notified_at); break;
       case EndpointState::kRemoved: pool_.Remove(id); break;
     }
   }
@@ -25,8 +25,8 @@
 
 void BackendMembership::ReplaceMembers(const EndpointList& list) {
   std::vector<uint32_t> named;
-  for (const ListedEndpoint& listed : list.entries) {
-    if (listed.backend.state != EndpointState::kRemoved) named.push_back(listed.backend.id);
+  for (const ListedEndpoint& listed : list.endpoints) {
+    if (listed.endpoint.state != EndpointState::kRemoved) named.push_back(listed.endpoint.id);
   }
   for (uint32_t id : members_) {
     if (std::find(named.begin(), named.end(), id) == named.end()) pool_.Remove(id);
@@ -35,11 +35,11 @@
 }
 
 void BackendMembership::ChangeMembers(const EndpointList& list) {
-  for (const ListedEndpoint& listed : list.entries) {
-    auto member = std::find(members_.begin(), members_.end(), listed.backend.id);
-    bool removed = listed.backend.state == EndpointState::kRemoved;
+  for (const ListedEndpoint& listed : list.endpoints) {
+    auto member = std::find(members_.begin(), members_.end(), listed.endpoint.id);
+    bool removed = listed.endpoint.state == EndpointState::kRemoved;
     if (removed && member != members_.end()) members_.erase(member);
-    if (!removed && member == members_.end()) members_.push_back(listed.backend.id);
+    if (!removed && member == members_.end()) members_.push_back(listed.endpoint.id);
   }
 }
 
--- a/src/net/backend_membership.h
+++ b/src/net/backend_membership.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "net/backend_connection_pool.h"
-#include "net/discovery_client.h"
+#include "net/endpoint_list.h"
 #include "policy/events.h"
 
 namespace gateway::net {
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -1,144 +1,72 @@
 #include "net/discovery_client.h"
 
 #include <algorithm>
-#include <cmath>
+#include <chrono>
+#include <new>
 #include <utility>
 
-#include "config/gateway_config.h"
+#include "net/http_field_names.h"
 
 namespace gateway::net {
 namespace {
 
-using nlohmann::json;
+constexpr size_t kMaxListBytes = size_t{8} << 20;
+constexpr int kMaxInterimResponses = 16;    // 1xx, ahead of the final one
+constexpr int kFailuresBeforeFullList = 3;  // in a row
+constexpr int kMaxDoublings = 8;            // of backoff and silence
 
-constexpr size_t kMaxList = size_t{8} << 20;
-constexpr double kLearnMarginS = 0.1;  // off the grace: what a busy core may take
-constexpr double kBackoffLeastS = 0.02;
-// An agent that answers a watch without need, before so much of its wait, is asked again after so long: well
-// within the 200 ms in which a watch lives on, and no loop without a wait.
-constexpr double kEarlyPart = 0.5, kPauseS = 0.02;
-constexpr int kMostInterim = 16;     // 1xx answers ahead of the final one
-constexpr int kFailuresToWhole = 3;  // in a row, after which the whole list is asked for
-
-int Position(const std::vector<std::string>& names, const std::string& name) {
-  auto it = std::find(names.begin(), names.end(), config::PlainName(name));
-  return static_cast<int>(it -
-                          names.begin());  // one that the settings do not name comes after all that they do
+double DetectionTime(const DiscoveryClientOptions& options, const config::DeploymentSettings& deployment) {
+  return std::clamp(deployment.drain_grace_s - deployment.connect_timeout_s - options.detection_margin_s,
+                    options.min_detection_time_s, options.max_detection_time_s);
 }
 
 }  // namespace
 
-uint32_t EndpointIds::NameHash(std::string_view name) {
-  uint32_t hash = 2166136261u;  // FNV-1a
-  for (char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619u;
-  return hash;
-}
-
-uint32_t EndpointIds::Of(const std::string& name) {
-  auto it = ids_.find(name);
-  if (it != ids_.end()) return it->second;
-  uint32_t id = hash_(name);
-  while (!names_.try_emplace(id, name).second) ++id;
-  ids_[name] = id;
-  return id;
-}
-
-EndpointList ParseEndpointList(const json& list, const config::DeploymentSettings& site, EndpointIds* ids) {
-  EndpointList out;
-  std::vector<std::pair<std::string, ListedEndpoint>> named;
-  try {
-    out.index = list.at("index").get<uint64_t>();
-    out.full = list.at("snapshot").get<bool>();
-    for (const json& entry : list.at("endpoints")) {
-      ListedEndpoint listed;
-      policy::Endpoint& b = listed.backend;
-      std::string status = entry.at("status").get<std::string>();
-      if (status == "active") {
-        b.state = policy::EndpointState::kReady;
-      } else if (status == "leaving") {
-        b.state = policy::EndpointState::kDraining;
-      } else if (status == "left") {
-        b.state = policy::EndpointState::kRemoved;
-      } else {
-        throw DiscoveryError("unknown status " + status);
-      }
-      if (b.state != policy::EndpointState::kRemoved || entry.contains("address")) {
-        listed.address = config::ParseAddress("address", entry.at("address").get<std::string>());
-      }
-      b.kind = Position(site.endpoint_kinds, entry.value("type", ""));
-      b.zone = Position(site.zone_names, entry.value("zone", ""));
-      b.cell = entry.value("group", 0);
-      b.weight = entry.value("weight", 1.0);
-      b.started_s = entry.value("since_ms", 0.0) / 1000;
-      if (!std::isfinite(b.weight) || !std::isfinite(b.started_s))
-        throw DiscoveryError("a figure is not finite");
-      named.emplace_back(entry.at("name").get<std::string>(), listed);
-    }
-  } catch (const config::ConfigError& error) {
-    throw DiscoveryError(error.what());
-  } catch (const json::exception& error) {
-    throw DiscoveryError(error.what());
-  }
-  // By name, so that names of one hash get the same ids wherever they are first met together.
-  std::vector<std::string> names;
-  for (const auto& [name, listed] : named) names.push_back(name);
-  std::sort(names.begin(), names.end());
-  for (const std::string& name : names) ids->Of(name);
-  for (auto& [name, listed] : named) {
-    listed.backend.id = ids->Of(name);
-    out.entries.push_back(std::move(listed));
-  }
-  return out;
-}
-
-DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint address,
-                                 const config::DeploymentSettings& site, EndpointIds* ids, OnList on_list,
-                                 OnFailed on_failed)
-    : io_(io),
+DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
+                                 const config::DeploymentSettings& deployment, EndpointIds* ids,
+                                 OnList on_list, OnFailed on_failed, const DiscoveryClientOptions& options)
+    : options_(options),
       address_(address),
-      site_(site),
-      learn_s_(
-          std::clamp(site.drain_grace_s - site.connect_timeout_s - kLearnMarginS, kLearnLeastS, kLearnMostS)),
+      deployment_(deployment),
+      detection_time_s_(DetectionTime(options, deployment)),
       ids_(ids),
       on_list_(std::move(on_list)),
       on_failed_(std::move(on_failed)),
+      last_response_at_(Clock::now()),
       socket_(io),
-      timer_(io),
-      fresh_at_(Clock::now()) {}
+      timer_(io) {}
 
 void DiscoveryClient::Start() {
-  if (running_) return;
-  running_ = true;
-  Ask();
+  if (state_ != State::kStopped) return;
+  state_ = State::kPausing;
+  Poll();
 }
 
-// A version that the agent before gave means nothing to this one.
-void DiscoveryClient::Move(const tcp::endpoint& address) {
+// The index that the agent before gave means nothing to this one.
+void DiscoveryClient::SwitchTo(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  whole_next_ = true;
+  need_full_list_ = true;
   failures_ = 0;
   CloseNow(socket_);
-  Ask();
+  Poll();
 }
 
-void DiscoveryClient::Ask() {
-  if (!running_) return;
-  ++turn_;
-  bool watch = index_.has_value() && !whole_next_;
-  // After a failure what is new is asked for at once, and waited for only then.
-  auto wait_ms = std::chrono::ceil<std::chrono::milliseconds>(Part(watch && failures_ == 0 ? kWaitPart : 0));
-  message_ = "GET /api/targets";
-  if (watch) {
-    message_ += "?after=" + std::to_string(*index_) + "&wait_ms=" + std::to_string(wait_ms.count());
-  }
-  message_ += " HTTP/1.1\r\nHost: discovery\r\n\r\n";
-  Renew(&parser_, kMaxList);
-  interim_ = 0;
-  silence_ = wait_ms + Silence();
-  asked_at_ = Clock::now();
-  give_up_ = asked_at_ + wait_ms + Seconds(kAnswerS);
-  AwaitSilence();
+void DiscoveryClient::Poll() {
+  if (state_ == State::kStopped) return;
+  ++exchange_id_;
+  bool watch = index_.has_value() && !need_full_list_;
+  // After a failure the agent answers at once with what is new; only the exchange after that waits.
+  bool may_wait = watch && failures_ == 0;
+  auto wait = std::chrono::ceil<std::chrono::milliseconds>(
+      DetectionFraction(may_wait ? options_.watch_wait_fraction : 0));
+  ComposeRequest(watch, wait);
+  Renew(&parser_, kMaxListBytes);
+  interim_responses_ = 0;
+  max_silence_ = wait + MaxSilence();
+  began_at_ = Clock::now();
+  response_deadline_ = began_at_ + wait + Seconds(options_.response_timeout_s);
+  AwaitBytes();
   if (socket_.is_open() && !Stale(socket_)) {
     Send();
   } else {
@@ -147,114 +75,162 @@
   }
 }
 
-// From the last bytes on, so that a long list may take its time, but not for ever. Guards against an agent
-// that says nothing, and one whose answer never ends.
-void DiscoveryClient::AwaitSilence() {
-  timer_.expires_at(std::min(Clock::now() + silence_, give_up_));
-  timer_.async_wait([this, turn = turn_](error_code cancelled) {
-    if (cancelled || turn != turn_) return;
-    bool late = Clock::now() >= give_up_;
-    if (!late && socket_.is_open() && Unread(socket_)) return AwaitSilence();  // about to be read
-    Failed();
-  });
+void DiscoveryClient::ComposeRequest(bool watch, std::chrono::milliseconds wait) {
+  request_ = std::string("GET ") + kEndpointListPath;
+  if (watch) {
+    request_ += std::string("?") + kWatchIndexParameter + "=" + std::to_string(*index_);
+    request_ += std::string("&") + kWatchWaitMsParameter + "=" + std::to_string(wait.count());
+  }
+  request_ += " HTTP/1.1\r\nHost: discovery\r\n\r\n";
 }
 
 void DiscoveryClient::Connect() {
+  state_ = State::kConnecting;
   buffer_.clear();
   error_code error = Open(socket_, address_);
-  if (error) return Failed();
-  socket_.async_connect(address_, [this, turn = turn_](error_code failed) {
-    if (turn != turn_) return;
-    if (failed) return Failed();
+  if (error) return Fail();
+  socket_.async_connect(address_, [this, exchange = exchange_id_](error_code failed) {
+    if (exchange != exchange_id_) return;
+    if (failed) return Fail();
     Send();
   });
 }
 
+// An agent whose socket does not take one short line does not read it.
 void DiscoveryClient::Send() {
+  state_ = State::kReceiving;
   error_code error;
-  size_t sent = socket_.send(asio::buffer(message_), 0, error);
-  if (error || sent < message_.size())
-    return Failed();  // an agent that does not read a line of a kept connection
-  Read();
+  size_t sent = socket_.send(asio::buffer(request_), 0, error);
+  if (error || sent < request_.size()) return Fail();
+  Receive();
 }
 
-void DiscoveryClient::Read() {
-  socket_.async_read_some(buffer_.prepare(kReadChunk), [this, turn = turn_](error_code error, size_t n) {
-    if (turn != turn_) return;
-    buffer_.commit(n);
-    if (n > 0) silence_ = Silence();
-    AwaitSilence();
-    error_code bad;
-    if (error == asio::error::eof && parser_->got_some()) {
-      parser_->put_eof(bad);
-    } else if (error) {
-      return Failed();
-    }
-    if (!bad && !parser_->is_done()) bad = Feed(*parser_, buffer_);
-    for (; !bad && parser_->is_done() && parser_->get().result_int() / 100 == 1; ++interim_) {
-      if (interim_ >= kMostInterim) return Failed();
-      Renew(&parser_, kMaxList);  // an interim answer: the final one follows
-      bad = Feed(*parser_, buffer_);
-    }
-    if (bad) return Failed();
-    if (parser_->is_done()) return Answered();
-    if (error) return Failed();
-    Read();
-  });
+void DiscoveryClient::Receive() {
+  socket_.async_read_some(buffer_.prepare(kReadChunk),
+                          [this, exchange = exchange_id_](error_code error, size_t size) {
+                            if (exchange == exchange_id_) OnBytes(error, size);
+                          });
 }
 
-void DiscoveryClient::Answered() {
-  if (parser_->get().result_int() != 200) return Failed();
-  EndpointList list;
-  try {
-    list = ParseEndpointList(json::parse(parser_->get().body()), site_, ids_);
-  } catch (const std::exception&) {
-    return Failed();  // what is no list changes nothing: the old list is kept
+void DiscoveryClient::OnBytes(error_code error, size_t size) {
+  buffer_.commit(size);
+  if (size > 0) max_silence_ = MaxSilence();
+  AwaitBytes();
+  error_code parse_error;
+  if (error == asio::error::eof && parser_->got_some()) {
+    parser_->put_eof(parse_error);
+  } else if (error) {
+    return Fail();
   }
-  if (whole_next_ && !list.full) return Failed();
-  // A version that goes back is another numbering, or an old answer: only a whole list that was asked for as
-  // such says what holds now.
-  if (!whole_next_ && list.index < *index_) {
-    whole_next_ = true;
-    return Failed();
+  if (!parse_error) parse_error = ParseReceived();
+  if (parse_error) return Fail();
+  if (parser_->is_done()) return OnResponse();
+  if (error) return Fail();
+  Receive();
+}
+
+// Passes over interim responses.
+error_code DiscoveryClient::ParseReceived() {
+  error_code error;
+  if (!parser_->is_done()) error = Feed(*parser_, buffer_);
+  while (!error && parser_->is_done() && parser_->get().result_int() / 100 == 1) {
+    if (interim_responses_ >= kMaxInterimResponses) return http::error::bad_status;
+    ++interim_responses_;
+    Renew(&parser_, kMaxListBytes);
+    error = Feed(*parser_, buffer_);
   }
+  return error;
+}
+
+void DiscoveryClient::OnResponse() {
+  if (parser_->get().result() != http::status::ok) return Fail();
+  std::optional<EndpointList> parsed = ParseList();
+  if (!parsed || !IsAcceptable(*parsed)) return Fail();
+  EndpointList& list = *parsed;
+
   if (!parser_->keep_alive() || buffer_.size() > 0) CloseNow(socket_);
-  bool nothing_new = !whole_next_ && index_ == list.index;
-  whole_next_ = false;
+  bool nothing_new = !need_full_list_ && index_ == list.index;
+  bool early = Clock::now() - began_at_ <
+               DetectionFraction(options_.watch_wait_fraction * options_.early_response_fraction);
+  need_full_list_ = false;
   index_ = list.index;
   failures_ = 0;
-  list.told = std::exchange(fresh_at_, Clock::now());
-  if (nothing_new && Clock::now() - asked_at_ < Part(kWaitPart * kEarlyPart)) {
-    AskSoon();
+  list.notified_at = std::exchange(last_response_at_, Clock::now());
+  if (nothing_new && early) {
+    PollAfter(Seconds(options_.early_response_pause_s));
   } else {
-    Ask();  // renewed at once: a watch lives on only for 200 ms between its calls
+    Poll();  // before the list is handled: a watch lives on only for 200 ms between its exchanges
   }
   on_list_(std::move(list));
 }
 
-// Longer with each failure, so that an agent that pauses longer than expected is heard all the same.
-Clock::duration DiscoveryClient::Silence() const {
-  return std::min(Part(kSilencePart) * (1 << std::min(failures_, 8)), Seconds(kAnswerS));
+// None where the body is no endpoint list, or where there is no memory for it: the list as last received
+// holds on.
+std::optional<EndpointList> DiscoveryClient::ParseList() {
+  try {
+    return ParseEndpointList(nlohmann::json::parse(parser_->get().body()), deployment_, ids_);
+  } catch (const DiscoveryError&) {
+    return std::nullopt;
+  } catch (const nlohmann::json::exception&) {
+    return std::nullopt;
+  } catch (const std::bad_alloc&) {
+    return std::nullopt;
+  }
 }
 
-void DiscoveryClient::AskSoon() {
-  timer_.expires_after(Seconds(kPauseS));
-  timer_.async_wait([this, turn = ++turn_](error_code cancelled) {
-    if (!cancelled && turn == turn_) Ask();
-  });
+// An index that goes back belongs to another numbering, or to an old response. Applied as a change it could
+// bring back a backend that is gone; only a full list that was asked for as such says what holds now.
+bool DiscoveryClient::IsAcceptable(const EndpointList& list) {
+  if (need_full_list_) return list.full;
+  if (list.index >= *index_) return true;
+  need_full_list_ = true;
+  return false;
 }
 
-void DiscoveryClient::Failed() {
-  uint64_t turn = ++turn_;
+// After a short gap a watch goes on from the same index. After a longer one the full list is asked for, so
+// that no change is missed whatever the agent still remembers.
+void DiscoveryClient::Fail() {
   CloseNow(socket_);
-  // A watch that broke goes on after the same version. After a longer gap the whole list is asked for again,
-  // so that no change is missed whatever the agent remembers.
-  if (++failures_ >= kFailuresToWhole) whole_next_ = true;
-  timer_.expires_after(std::min(Seconds(kBackoffLeastS * (1 << std::min(failures_, 8))), Part(kBackoffPart)));
-  timer_.async_wait([this, turn](error_code cancelled) {
-    if (!cancelled && turn == turn_) Ask();
-  });
+  if (++failures_ >= kFailuresBeforeFullList) need_full_list_ = true;
+  PollAfter(Backoff());
   on_failed_();
 }
 
+void DiscoveryClient::PollAfter(Clock::duration pause) {
+  ++exchange_id_;
+  state_ = State::kPausing;
+  ArmTimer(Clock::now() + pause);
+}
+
+void DiscoveryClient::ArmTimer(Clock::time_point when) {
+  timer_.expires_at(when);
+  timer_.async_wait([this, exchange = exchange_id_](error_code cancelled) {
+    if (!cancelled && exchange == exchange_id_) OnTimer();
+  });
+}
+
+// Counted anew from each byte, so that a long list may take its time, but never past the response's deadline.
+// Guards against an agent that falls silent (a hung process, or a machine that was cut off: nothing closes
+// the connection) and against one whose response never ends.
+void DiscoveryClient::AwaitBytes() { ArmTimer(std::min(Clock::now() + max_silence_, response_deadline_)); }
+
+void DiscoveryClient::OnTimer() {
+  if (state_ == State::kPausing) return Poll();
+  // Bytes that have come and are not read yet, in a busy event loop, are no silence.
+  bool overdue = Clock::now() >= response_deadline_;
+  if (!overdue && socket_.is_open() && Unread(socket_)) return AwaitBytes();
+  Fail();
+}
+
+// Longer with each failure, so that an agent that pauses longer than expected is heard all the same.
+Clock::duration DiscoveryClient::MaxSilence() const {
+  Clock::duration silence = DetectionFraction(options_.silence_fraction);
+  return std::min(silence * (1 << std::min(failures_, kMaxDoublings)), Seconds(options_.response_timeout_s));
+}
+
+Clock::duration DiscoveryClient::Backoff() const {
+  double backoff_s = options_.backoff_base_s * (1 << std::min(failures_, kMaxDoublings));
+  return std::min(Seconds(backoff_s), DetectionFraction(options_.max_backoff_fraction));
+}
+
 }  // namespace gateway::net
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -1,130 +1,150 @@
-// Follows discovery: the whole list once, then one watch after another. Turns names into the module's ids.
+// Follows discovery: the full endpoint list first, then one watch after another.
 #ifndef GATEWAY_NET_DISCOVERY_CLIENT_H_
 #define GATEWAY_NET_DISCOVERY_CLIENT_H_
 
+#include <chrono>
+#include <cstdint>
 #include <functional>
-#include <memory>
-#include <nlohmann/json.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
-#include <unordered_map>
-#include <vector>
 
 #include "config/settings_parser.h"
-#include "net/backend_connection_pool.h"
-#include "policy/admission_policy.h"
+#include "net/clock.h"
+#include "net/endpoint_list.h"
+#include "net/http_util.h"
 
 namespace gateway::net {
 
-struct ListedEndpoint {
-  policy::Endpoint backend;
-  tcp::endpoint address;
+// The time parts of the client. What the agent has counts as notified to the gateway, also while no watch is
+// open, so that a draining backend's grace runs on while a watch hangs. The detection time is the part of
+// that grace in which a hanging watch has to be noticed; the fractions are of it. The agent is on the
+// gateway's machine and answers at once and at no cost, so neither a short silence nor a further call is
+// expensive.
+struct DiscoveryClientOptions {
+  double min_detection_time_s = 0.25;
+  double max_detection_time_s = 2;   // for long graces
+  double detection_margin_s = 0.1;   // off the grace: what a busy core may take
+  double watch_wait_fraction = 0.5;  // how long a watch waits for a change
+  double silence_fraction = 0.3;     // without a byte after a watch's wait, until the exchange has failed
+  // For a complete response, at whatever pace it comes: the list of 6,700 backends has 1 MB, which takes a
+  // twentieth of a core one second.
+  double response_timeout_s = 1.2;
+  // Between failed exchanges: the base, doubled with each failure in a row.
+  double backoff_base_s = 0.02;
+  double max_backoff_fraction = 0.15;
+  // A watch that is answered with nothing new in less than this fraction of its wait is renewed only after
+  // the pause. Guards against an agent that does so each time, which would keep the gateway busy. The pause
+  // is well within the 200 ms in which a watch lives on (PROTOCOL, Discovery).
+  double early_response_fraction = 0.5;
+  double early_response_pause_s = 0.02;
 };
-struct EndpointList {
-  uint64_t index = 0;
-  bool full = false;
-  // Since when the agent may have had this: from then on it counts as told, whenever it is read.
-  Clock::time_point told{};
-  std::vector<ListedEndpoint> entries;
-};
-
-// Ids that are the same at every gateway, since they come of the names alone. Two names of one hash are told
-// apart by the next free number; only then may gateways that met them in another order differ.
-class EndpointIds {
- public:
-  using Hash = uint32_t (*)(std::string_view);
-  explicit EndpointIds(Hash hash = &NameHash) : hash_(hash) {}
-  uint32_t Of(const std::string& name);
-  static uint32_t NameHash(std::string_view name);
-
- private:
-  Hash hash_;
-  std::unordered_map<std::string, uint32_t> ids_;
-  std::unordered_map<uint32_t, std::string> names_;
-};
-
-// What is wrong with an endpoint list.
-class DiscoveryError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
-// Throws DiscoveryError on anything that is not a list in discovery's form.
-EndpointList ParseEndpointList(const nlohmann::json& list, const config::DeploymentSettings& site,
-                               EndpointIds* ids);
 
+// The longest from when the agent has a change, and may tell it, until it is taken in, in s: whatever
+// exchange is under way and however that ends. At worst that one was begun just before, and its response
+// trickles in and is old or cut off; the next, which does not wait, finds an index that goes back, also at a
+// trickle; the one after it asks for the full list.
+constexpr double WorstNotificationTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
+  double backoff_s = options.max_backoff_fraction * detection_time_s;
+  return options.watch_wait_fraction * detection_time_s + options.response_timeout_s +
+         2 * (backoff_s + options.response_timeout_s);
+}
+
+// The longest from SwitchTo() until the new agent's list is taken in, in s: no exchange is under way then,
+// and the first asks for the full list.
+constexpr double WorstSwitchTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
+  double backoff_s = options.max_backoff_fraction * detection_time_s;
+  return options.response_timeout_s + backoff_s + options.response_timeout_s;
+}
+
+// A change counts as notified at the latest so long after discovery had it and could be reached, and after
+// SIGHUP (STANDING). The times above have to stay below these for every grace.
+inline constexpr double kNotificationLimitS = 6;
+inline constexpr double kSwitchNotificationLimitS = 4;
+static_assert(WorstNotificationTimeS({}, DiscoveryClientOptions{}.max_detection_time_s) <
+              kNotificationLimitS);
+static_assert(WorstSwitchTimeS({}, DiscoveryClientOptions{}.max_detection_time_s) <
+              kSwitchNotificationLimitS);
+
+// Polls one agent at a time, with one exchange at a time. An exchange that fails is repeated after a backoff,
+// for ever.
 class DiscoveryClient {
  public:
-  // Parts of the time in which a change has to be learnt (below): a watch's wait, the silence after it that
-  // ends it, and the most between two failed calls. The agent is on this machine and answers at once, so
-  // neither a short silence nor a call costs much.
-  static constexpr double kWaitPart = 0.5, kSilencePart = 0.3, kBackoffPart = 0.15;
-  // That time, in s: the drain's grace, less what a connection under way may take and what a busy core may,
-  // since what the agent has counts as told, also while no watch is open. The most is for long graces.
-  static constexpr double kLearnLeastS = 0.25, kLearnMostS = 2;
-  // s for a whole answer, however it trickles in: 1 MB, the list of 6,700 backends, takes a twentieth of a
-  // core one second.
-  static constexpr double kAnswerS = 1.2;
-  // s within which a change is learnt that the agent has and may tell, whatever call is under way and however
-  // it ends. That call was made just before and trickles in as an old or half answer; the next, which does
-  // not wait, finds a version that goes back, also at a trickle; the one after it asks for the whole list.
-  static constexpr double WorstLearnS(double learn_s) {
-    return kWaitPart * learn_s + kAnswerS + 2 * (kBackoffPart * learn_s + kAnswerS);
-  }
-  // The same after SIGHUP has named another agent: no call is under way, and the first is for the whole list.
-  static constexpr double WorstMoveS(double learn_s) { return kAnswerS + kBackoffPart * learn_s + kAnswerS; }
-  // What a change counts as told by, in s, at the latest (STANDING): after discovery had it and could be
-  // reached, and after SIGHUP.
-  static constexpr double kToldS = 6, kToldMoveS = 4;
-
+  // A list was received; its `notified_at` is set. When it is called the next exchange has begun or is
+  // scheduled, so it may call Start() and SwitchTo().
   using OnList = std::function<void(EndpointList)>;
+  // An exchange failed, and will be repeated. Nothing is known to have changed. The same holds.
   using OnFailed = std::function<void()>;
 
-  DiscoveryClient(asio::io_context& io, tcp::endpoint address, const config::DeploymentSettings& site,
-                  EndpointIds* ids, OnList on_list, OnFailed on_failed);
+  // `deployment` and `ids` outlive the client. Both callbacks are called from the event loop only, except
+  // that OnFailed may come from within Start() and SwitchTo() where no socket can be opened.
+  DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
+                  const config::DeploymentSettings& deployment, EndpointIds* ids, OnList on_list,
+                  OnFailed on_failed, const DiscoveryClientOptions& options = {});
+
+  // Called again it does nothing: polling never stops.
+  void Start();
 
-  void Start();                             // no-op once running: what fails is tried again here
-  void Move(const tcp::endpoint& address);  // asks another agent for the whole list, at once
+  // Polls the agent at another address for the full list, at once.
+  void SwitchTo(const tcp::endpoint& address);
 
  private:
-  void Ask();
+  enum class State {
+    kStopped,     // before Start()
+    kConnecting,  // an exchange waits for its connection
+    kReceiving,   // an exchange waits for the rest of its response
+    kPausing,     // the timer runs until the next exchange
+  };
+
+  // One exchange.
+  void Poll();
+  void ComposeRequest(bool watch, std::chrono::milliseconds wait);
   void Connect();
   void Send();
-  void Read();
-  void Answered();
-  void Failed();
-  void AwaitSilence();
-  void AskSoon();
-  Clock::duration Silence() const;
-  Clock::duration Part(double share) const { return Seconds(share * learn_s_); }
-
-  asio::io_context& io_;
+  void Receive();
+  void OnBytes(error_code error, size_t size);
+  error_code ParseReceived();
+  void OnResponse();
+  std::optional<EndpointList> ParseList();
+  bool IsAcceptable(const EndpointList& list);
+  void Fail();
+
+  // Time.
+  void ArmTimer(Clock::time_point when);
+  void OnTimer();
+  void AwaitBytes();
+  void PollAfter(Clock::duration pause);
+  Clock::duration MaxSilence() const;
+  Clock::duration Backoff() const;
+  Clock::duration DetectionFraction(double fraction) const { return Seconds(fraction * detection_time_s_); }
+
+  const DiscoveryClientOptions options_;
   tcp::endpoint address_;
-  const config::DeploymentSettings& site_;
-  const double learn_s_;  // in which a change has to be learnt, whatever falls silent
-  EndpointIds* ids_;
-  OnList on_list_;
-  OnFailed on_failed_;
+  const config::DeploymentSettings& deployment_;
+  const double detection_time_s_;
+  EndpointIds* const ids_;
+  const OnList on_list_;
+  const OnFailed on_failed_;
+
+  State state_ = State::kStopped;
+  std::optional<uint64_t> index_;  // of the list as last received
+  bool need_full_list_ = true;
+  int failures_ = 0;  // in a row
+  // When the agent last answered: what it tells later it did not have before.
+  Clock::time_point last_response_at_;
+
+  // Of the exchange. Handlers that were started under another id do nothing.
+  uint64_t exchange_id_ = 0;
   tcp::socket socket_;
   asio::steady_timer timer_;
+  std::string request_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
-  std::string message_;
-  std::optional<uint64_t> index_;
-  uint64_t turn_ = 0;           // of the exchange: handlers of an earlier one do nothing
-  Clock::time_point fresh_at_;  // the agent's last answer: what it tells later it did not have before
-  Clock::duration silence_{};   // of the exchange: how long the agent may say nothing
-  Clock::time_point asked_at_{}, give_up_{};  // the exchange's begin, and when it has to be whole
-  int failures_ = 0;                          // in a row
-  int interim_ = 0;                           // 1xx answers of the exchange
-  bool running_ = false, whole_next_ = true;
+  int interim_responses_ = 0;
+  Clock::time_point began_at_{};
+  Clock::time_point response_deadline_{};
+  Clock::duration max_silence_{};  // until the next byte
 };
 
-// It has to hold for every drain's grace.
-static_assert(DiscoveryClient::WorstLearnS(DiscoveryClient::kLearnMostS) < DiscoveryClient::kToldS);
-static_assert(DiscoveryClient::WorstMoveS(DiscoveryClient::kLearnMostS) < DiscoveryClient::kToldMoveS);
-
 }  // namespace gateway::net
 
 #endif  // GATEWAY_NET_DISCOVERY_CLIENT_H_
--- /dev/null
+++ b/src/net/endpoint_list.cpp
@@ -0,0 +1,101 @@
+#include "net/endpoint_list.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "config/config_error.h"
+#include "config/gateway_config.h"
+
+namespace gateway::net {
+namespace {
+
+using nlohmann::json;
+using policy::EndpointState;
+
+using NamedEndpoint = std::pair<std::string, ListedEndpoint>;
+
+constexpr double kMsPerS = 1000;
+
+// The index of the name; of one that the settings do not have, their number.
+int IndexOfName(const std::vector<std::string>& names, const std::string& name) {
+  auto it = std::find(names.begin(), names.end(), config::PlainName(name));
+  return static_cast<int>(it - names.begin());
+}
+
+EndpointState ParseState(const std::string& status) {
+  if (status == "active") return EndpointState::kReady;
+  if (status == "leaving") return EndpointState::kDraining;
+  if (status == "left") return EndpointState::kRemoved;
+  throw DiscoveryError("unknown status " + status);
+}
+
+NamedEndpoint ParseEndpoint(const json& entry, const config::DeploymentSettings& deployment) {
+  ListedEndpoint listed;
+  policy::Endpoint& endpoint = listed.endpoint;
+  endpoint.state = ParseState(entry.at("status").get<std::string>());
+  if (endpoint.state != EndpointState::kRemoved || entry.contains("address")) {
+    listed.address = config::ParseAddress("address", entry.at("address").get<std::string>());
+  }
+  endpoint.kind = IndexOfName(deployment.endpoint_kinds, entry.value("type", ""));
+  endpoint.zone = IndexOfName(deployment.zone_names, entry.value("zone", ""));
+  endpoint.cell = entry.value("group", 0);
+  endpoint.weight = entry.value("weight", 1.0);
+  endpoint.started_s = entry.value("since_ms", 0.0) / kMsPerS;
+  if (!std::isfinite(endpoint.weight) || !std::isfinite(endpoint.started_s)) {
+    throw DiscoveryError("a figure is not finite");
+  }
+  return {entry.at("name").get<std::string>(), listed};
+}
+
+// In the order of the names, so that names with the same hash get the same ids at every gateway that meets
+// them in one list.
+void AssignIds(const std::vector<NamedEndpoint>& endpoints, EndpointIds* ids) {
+  std::vector<std::string> names;
+  names.reserve(endpoints.size());
+  for (const auto& [name, listed] : endpoints) names.push_back(name);
+  std::sort(names.begin(), names.end());
+  for (const std::string& name : names) ids->IdOf(name);
+}
+
+}  // namespace
+
+uint32_t EndpointIds::HashName(std::string_view name) {
+  constexpr uint32_t kOffsetBasis = 2166136261U;
+  constexpr uint32_t kPrime = 16777619U;
+  uint32_t hash = kOffsetBasis;
+  for (char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * kPrime;
+  return hash;
+}
+
+uint32_t EndpointIds::IdOf(const std::string& name) {
+  auto it = ids_.find(name);
+  if (it != ids_.end()) return it->second;
+  uint32_t id = hash_(name);
+  while (!names_.try_emplace(id, name).second) ++id;
+  ids_[name] = id;
+  return id;
+}
+
+EndpointList ParseEndpointList(const json& list, const config::DeploymentSettings& deployment,
+                               EndpointIds* ids) {
+  EndpointList parsed;
+  std::vector<NamedEndpoint> named;
+  try {
+    parsed.index = list.at("index").get<uint64_t>();
+    parsed.full = list.at("snapshot").get<bool>();
+    for (const json& entry : list.at("endpoints")) named.push_back(ParseEndpoint(entry, deployment));
+  } catch (const config::ConfigError& error) {
+    throw DiscoveryError(error.what());
+  } catch (const json::exception& error) {
+    throw DiscoveryError(error.what());
+  }
+  AssignIds(named, ids);
+  for (auto& [name, listed] : named) {
+    listed.endpoint.id = ids->IdOf(name);
+    parsed.endpoints.push_back(std::move(listed));
+  }
+  return parsed;
+}
+
+}  // namespace gateway::net
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -99,7 +99,7 @@
   }
   EndpointList cached = ParseCachedList(config, &endpoint_ids_);
   policy_.emplace(config.settings, config.seed, PolicyNow(), &actions_);
-  cached.told = Clock::now();
+  cached.notified_at = Clock::now();
   OnEndpointList(cached, EndpointUpdateKind::kCached);
   server_.Listen(config.listen);
   discovery_.Start();
@@ -111,7 +111,7 @@
   config::CheckSameGateway(config_, fresh);
   EndpointIds unused;
   ParseCachedList(fresh, &unused);  // for its checks
-  discovery_.Move(fresh.discovery);
+  discovery_.SwitchTo(fresh.discovery);
   if (counter_ && fresh.has_counter) counter_->Move(fresh.counter);
 }
 
@@ -340,7 +340,7 @@
 void Gateway::OnEndpointList(const EndpointList& list, EndpointUpdateKind kind) {
   membership_.Apply(list, kind);
   std::vector<policy::Endpoint> endpoints;
-  for (const ListedEndpoint& listed : list.entries) endpoints.push_back(listed.backend);
+  for (const ListedEndpoint& listed : list.endpoints) endpoints.push_back(listed.endpoint);
   NotifyPolicy([&](AdmissionPolicy& policy, double now_s, Actions* actions) {
     policy.OnEndpointUpdate(now_s, kind, endpoints, actions);
   });
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -13,6 +13,7 @@
 #include "net/client_server.h"
 #include "net/counter_client.h"
 #include "net/discovery_client.h"
+#include "net/endpoint_list.h"
 #include "net/graceful_shutdown.h"
 #include "net/in_flight_requests.h"
 #include "net/request_parser.h"
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -612,9 +612,9 @@
   json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("a", 1), Entry("b", 2)}}};
   json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("b", 2), Entry("a", 1)}}};
   auto first = net::ParseEndpointList(ab, site, &one), second = net::ParseEndpointList(ba, site, &two);
-  EXPECT_NE(first.entries[0].backend.id, first.entries[1].backend.id);
-  EXPECT_EQ(first.entries[0].backend.id, second.entries[1].backend.id);
-  EXPECT_EQ(first.entries[1].backend.id, second.entries[0].backend.id);
+  EXPECT_NE(first.endpoints[0].endpoint.id, first.endpoints[1].endpoint.id);
+  EXPECT_EQ(first.endpoints[0].endpoint.id, second.endpoints[1].endpoint.id);
+  EXPECT_EQ(first.endpoints[1].endpoint.id, second.endpoints[0].endpoint.id);
 }
 
 // The client of the counter, driven directly: its loop runs until `done`.
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -409,8 +409,8 @@
   agent.Ask();
   agent.Tell(1, true, "active");
   ASSERT_EQ(agent.lists.size(), 1u);
-  EXPECT_GE(agent.lists[0].told, start);
-  EXPECT_LE(agent.lists[0].told, begun) << "a new process counts as told from its first moment";
+  EXPECT_GE(agent.lists[0].notified_at, start);
+  EXPECT_LE(agent.lists[0].notified_at, begun) << "a new process counts as told from its first moment";
   auto first = Clock::now();
   EXPECT_NE(agent.Ask().find("after=1"), std::string::npos);
   agent.wire->Reset();  // the watch breaks, and the change comes while none is open
@@ -418,7 +418,7 @@
   agent.Ask();
   agent.Tell(2, false, "leaving");
   ASSERT_EQ(agent.lists.size(), 2u);
-  EXPECT_LE(agent.lists[1].told, first);
+  EXPECT_LE(agent.lists[1].notified_at, first);
 }
 
 // A watch that is never answered again is over within the grace, less what a late connection may take.
@@ -566,7 +566,7 @@
   agent.Tell(1, true, "active");
   agent.Ask();
   Listener next;
-  agent.client->Move(At(next.port()));
+  agent.client->SwitchTo(At(next.port()));
   std::vector<std::unique_ptr<Wire>> silent;
   for (int i = 0; i < 3; ++i) {
     agent.Until([&] { return next.Waiting(); });
