--- a/src/net/connection_limits.cpp
+++ b/src/net/connection_limits.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "net/http_util.h"
+#include "net/http_framing.h"
 
 namespace gateway::net {
 namespace {
--- /dev/null
+++ b/src/net/counter_connection.cpp
@@ -0,0 +1,151 @@
+#include "net/counter_connection.h"
+
+#include <utility>
+
+namespace gateway::net {
+
+using policy::CallResult;
+
+namespace {
+
+constexpr size_t kMaxIncompleteReplyBytes = 8192;
+
+}  // namespace
+
+CounterConnection::CounterConnection(asio::io_context& io, const Options& options, Owner* owner)
+    : io_(io), options_(options), owner_(owner), socket_(io), timer_(io) {}
+
+void CounterConnection::Connect() {
+  error_code error = Open(socket_, options_.address);
+  if (error) return asio::post(io_, [self = shared_from_this(), this] { Close(true); });
+  timer_.expires_after(options_.connect_timeout);
+  timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
+    if (!cancelled && state_ == State::kConnecting) Close(true);
+  });
+  socket_.async_connect(options_.address,
+                        [self = shared_from_this(), this](error_code failed) { OnConnectEnded(failed); });
+}
+
+// A call whose time-out came first was reported as not added, so it must not go out any more.
+void CounterConnection::OnConnectEnded(error_code error) {
+  if (closed()) return;
+  if (error) return Close(true);
+  state_ = State::kOpen;
+  timer_.cancel();
+  owner_->OnConnected();
+  Read();
+  size_t kept = 0;
+  for (size_t i = 0; i < calls_.size(); ++i) {
+    if (calls_[i]->ended) continue;
+    unsent_ += queued_commands_[i];
+    calls_[kept++] = calls_[i];
+  }
+  calls_.resize(kept);
+  queued_commands_.clear();
+  last_bytes_at_ = Clock::now();
+  if (!calls_.empty()) AwaitBytes();
+  Write();
+}
+
+void CounterConnection::Add(std::shared_ptr<CounterCall> call, std::string command) {
+  calls_.push_back(std::move(call));
+  if (state_ == State::kConnecting) return queued_commands_.push_back(std::move(command));
+  if (calls_.size() == 1) {
+    last_bytes_at_ = Clock::now();
+    AwaitBytes();
+  }
+  unsent_ += command;
+  Write();
+}
+
+void CounterConnection::Drain() {
+  if (state_ == State::kConnecting || calls_.empty()) return Close(false);
+  state_ = State::kDraining;
+}
+
+void CounterConnection::Close(bool unreachable) {
+  if (closed()) return;
+  bool was_draining = state_ == State::kDraining;
+  state_ = State::kClosed;
+  auto self = shared_from_this();  // the owner may drop the last other reference
+  timer_.cancel();
+  CloseNow(socket_);
+  // An address that calls no longer go to needs no backoff.
+  owner_->OnConnectionClosed(this, unreachable && !was_draining);
+  auto calls = std::move(calls_);
+  calls_.clear();
+  for (auto& call : calls) owner_->OnCallEnded(call, call->ResultWithoutReply(), 0);
+}
+
+void CounterConnection::Detach() {
+  state_ = State::kClosed;
+  timer_.cancel();
+  CloseNow(socket_);
+}
+
+// Marks all calls as written before the write: until it has ended, any of them may have gone out complete,
+// and only a call that was not handed over yet is known not to have been added.
+void CounterConnection::Write() {
+  if (writing_ || unsent_.empty()) return;
+  writing_ = true;
+  sending_.swap(unsent_);
+  unsent_.clear();
+  for (auto& call : calls_) call->written = true;
+  sent_bytes_ = 0;
+  WriteAll(socket_, sending_, &sent_bytes_, [self = shared_from_this(), this](error_code error) {
+    writing_ = false;
+    if (closed()) return;
+    if (error) return asio::post(io_, [self, this] { Close(false); });
+    Write();
+  });
+}
+
+void CounterConnection::Read() {
+  socket_.async_read_some(asio::buffer(read_buffer_),
+                          [self = shared_from_this(), this](error_code error, size_t size) {
+                            if (closed()) return;
+                            if (error) return Close(false);
+                            OnBytes(size);
+                          });
+}
+
+void CounterConnection::OnBytes(size_t size) {
+  last_bytes_at_ = Clock::now();
+  if (!decoder_.Feed(read_buffer_, size) || !TakeReplies()) return Close(false);
+  if (closed()) return;
+  if (decoder_.unused_bytes() > kMaxIncompleteReplyBytes) return Close(false);
+  if (calls_.empty()) {
+    if (state_ == State::kDraining) return Close(false);
+    timer_.cancel();
+  }
+  Read();
+}
+
+// Ends a call for each complete reply; one of them may close the connection. False on garbage.
+bool CounterConnection::TakeReplies() {
+  while (!closed()) {
+    TallyReply reply;
+    TallyReplyDecoder::Status status = decoder_.Next(&reply);
+    if (status == TallyReplyDecoder::Status::kNeedMore) return true;
+    if (status == TallyReplyDecoder::Status::kInvalid || calls_.empty()) return false;
+    auto call = std::move(calls_.front());
+    calls_.pop_front();
+    owner_->OnCallEnded(call, reply.added ? CallResult::kOk : CallResult::kRejected, reply.total);
+  }
+  return true;
+}
+
+// Guards against a counter whose machine has vanished or is cut off: no connection is closed by that, TCP
+// keep-alive does not notice it, and further calls would go on to a connection that never answers. The late
+// reply of a slow counter counts as a sign of life. One timer runs while calls are in flight; bytes only set
+// last_bytes_at_.
+void CounterConnection::AwaitBytes() {
+  timer_.expires_at(last_bytes_at_ + options_.max_silence);
+  timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
+    if (cancelled || closed() || calls_.empty()) return;
+    if (Clock::now() >= last_bytes_at_ + options_.max_silence) return Close(true);
+    AwaitBytes();
+  });
+}
+
+}  // namespace gateway::net
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -11,7 +11,8 @@
 #include "config/settings_parser.h"
 #include "net/clock.h"
 #include "net/endpoint_list.h"
-#include "net/http_util.h"
+#include "net/http_framing.h"
+#include "net/socket_util.h"
 
 namespace gateway::net {
 
--- a/src/net/endpoint_list.h
+++ b/src/net/endpoint_list.h
@@ -12,7 +12,7 @@
 
 #include "config/settings_parser.h"
 #include "net/clock.h"
-#include "net/http_util.h"
+#include "net/socket_util.h"
 #include "policy/events.h"
 
 namespace gateway::net {
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -112,7 +112,7 @@
   EndpointIds unused;
   ParseCachedList(fresh, &unused);  // for its checks
   discovery_.SwitchTo(fresh.discovery);
-  if (counter_ && fresh.has_counter) counter_->Move(fresh.counter);
+  if (counter_ && fresh.has_counter) counter_->SwitchTo(fresh.counter);
 }
 
 void Gateway::Shutdown() { shutdown_.Start(); }
@@ -285,8 +285,8 @@
   });
 }
 
-// Nobody waits for the request any more: what no backend has received whole goes no further, whether or not
-// the settings allow cancellation. The other attempts are left to the policy.
+// Nobody waits for the request any more: what no backend has received completely goes no further, whether or
+// not the settings allow cancellation. The other attempts are left to the policy.
 void Gateway::DropUnsentAttempts(uint32_t request_id) {
   const InFlightRequest& request = requests_.At(request_id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -21,7 +21,7 @@
 constexpr size_t kMaxTenantDigits = 16;
 constexpr uint64_t kTenantNumberLimit = 1ULL << 33;  // tenants are numbered below it
 
-// A whole text as a number; none where anything else stands in it.
+// The text as a number; none unless all of it is one.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T value{};
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "net/clock.h"
-#include "net/http_util.h"
+#include "net/socket_util.h"
 
 namespace gateway::net {
 
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -661,7 +661,7 @@
   Calls calls(before.port(), 30);
   calls.client.Call(1, 1, 5);
   calls.Until([&] { return before.calls.count() == 1; });
-  calls.client.Move({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
+  calls.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
   calls.client.Call(2, 1, 5);
   calls.Until([&] { return calls.answers.size() == 1; });
   EXPECT_EQ(calls.answers[0].key, 2u);
