--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -99,7 +99,7 @@
   }
   EndpointList cached = ParseCachedList(config, &endpoint_ids_);
   policy_.emplace(config.settings, config.seed, PolicyNow(), &actions_);
-  cached.told = Clock::now();
+  cached.notified_at = Clock::now();
   OnEndpointList(cached, EndpointUpdateKind::kCached);
   server_.Listen(config.listen);
   discovery_.Start();
@@ -111,8 +111,8 @@
   config::CheckSameGateway(config_, fresh);
   EndpointIds unused;
   ParseCachedList(fresh, &unused);  // for its checks
-  discovery_.Move(fresh.discovery);
-  if (counter_ && fresh.has_counter) counter_->Move(fresh.counter);
+  discovery_.SwitchTo(fresh.discovery);
+  if (counter_ && fresh.has_counter) counter_->SwitchTo(fresh.counter);
 }
 
 void Gateway::Shutdown() { shutdown_.Start(); }
@@ -286,8 +286,8 @@
   });
 }
 
-// Nobody waits for the request any more: what no backend has received whole goes no further, whether or not
-// the settings allow cancellation. The other attempts are left to the policy.
+// Nobody waits for the request any more: what no backend has received completely goes no further, whether or
+// not the settings allow cancellation. The other attempts are left to the policy.
 void Gateway::DropUnsentAttempts(uint32_t request_id) {
   const InFlightRequest& request = requests_.At(request_id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
@@ -341,7 +341,7 @@
 void Gateway::OnEndpointList(const EndpointList& list, EndpointUpdateKind kind) {
   membership_.Apply(list, kind);
   std::vector<policy::Endpoint> endpoints;
-  for (const ListedEndpoint& listed : list.entries) endpoints.push_back(listed.backend);
+  for (const ListedEndpoint& listed : list.endpoints) endpoints.push_back(listed.endpoint);
   NotifyPolicy([&](AdmissionPolicy& policy, double now_s, Actions* actions) {
     policy.OnEndpointUpdate(now_s, kind, endpoints, actions);
   });
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -612,9 +612,9 @@
   json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("a", 1), Entry("b", 2)}}};
   json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {Entry("b", 2), Entry("a", 1)}}};
   auto first = net::ParseEndpointList(ab, site, &one), second = net::ParseEndpointList(ba, site, &two);
-  EXPECT_NE(first.entries[0].backend.id, first.entries[1].backend.id);
-  EXPECT_EQ(first.entries[0].backend.id, second.entries[1].backend.id);
-  EXPECT_EQ(first.entries[1].backend.id, second.entries[0].backend.id);
+  EXPECT_NE(first.endpoints[0].endpoint.id, first.endpoints[1].endpoint.id);
+  EXPECT_EQ(first.endpoints[0].endpoint.id, second.endpoints[1].endpoint.id);
+  EXPECT_EQ(first.endpoints[1].endpoint.id, second.endpoints[0].endpoint.id);
 }
 
 // The client of the counter, driven directly: its loop runs until `done`.
@@ -661,7 +661,7 @@
   Calls calls(before.port(), 30);
   calls.client.Call(1, 1, 5);
   calls.Until([&] { return before.calls.count() == 1; });
-  calls.client.Move({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
+  calls.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
   calls.client.Call(2, 1, 5);
   calls.Until([&] { return calls.answers.size() == 1; });
   EXPECT_EQ(calls.answers[0].key, 2u);
