--- a/src/net/backend_connection_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -12,7 +12,7 @@
 #include "net/attempt_result.h"
 #include "net/backend_connection.h"
 #include "net/clock.h"
-#include "net/http_util.h"
+#include "net/socket_util.h"
 
 namespace gateway::net {
 
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -13,7 +13,7 @@
 #include "net/client_response.h"
 #include "net/client_session.h"
 #include "net/clock.h"
-#include "net/http_util.h"
+#include "net/socket_util.h"
 
 namespace gateway::net {
 
