--- a/src/net/attempt_result.cpp
+++ b/src/net/attempt_result.cpp
@@ -34,14 +34,14 @@
   if (response->result() != http::status::ok) {
     bool unavailable = response->result() == http::status::service_unavailable ||
                        response->result() == http::status::gateway_timeout;
-    bool not_started = View((*response)[kNotStartedField]) == kNotStartedValue;
+    bool not_started = ToStringView((*response)[kNotStartedField]) == kNotStartedValue;
     end.result = unavailable && not_started ? CallResult::kRejected : CallResult::kError;
     return end;
   }
   end.result = CallResult::kOk;
-  end.actual_cost_units = ParseCostUnits(View((*response)[kActualCostField]));
+  end.actual_cost_units = ParseCostUnits(ToStringView((*response)[kActualCostField]));
   AppendEndToEnd(*response, &end.headers,
-                 [](const auto& field) { return IsForGatewayOnly(View(field.name_string())); });
+                 [](const auto& field) { return IsForGatewayOnly(ToStringView(field.name_string())); });
   end.body = std::move(response->body());
   return end;
 }
--- a/src/net/backend_connection.cpp
+++ b/src/net/backend_connection.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr size_t kMaxResponseBody = kMaxBody;
+constexpr size_t kMaxResponseBody = kMaxBodyBytes;
 constexpr int kMaxInterimResponses = 16;  // 1xx responses ahead of the final one
 
 }  // namespace
@@ -28,7 +28,7 @@
   return HasAttempt() && message_bytes_ > 0 && written_bytes_ == message_bytes_;
 }
 
-bool BackendConnection::IsReusable() { return state_ == State::kIdle && !Stale(socket_); }
+bool BackendConnection::IsReusable() { return state_ == State::kIdle && !IsStale(socket_); }
 
 void BackendConnection::Begin(BackendAttempt attempt) {
   bool connected = state_ == State::kIdle;
@@ -38,7 +38,7 @@
   began_at_ = Clock::now();
   give_up_at_ = began_at_ + Seconds(std::max(0.0, attempt_.timeout_s));
   interim_responses_ = 0;
-  Renew(&parser_, kMaxResponseBody);
+  ResetParser(&parser_, kMaxResponseBody);
   if (!connected) return Connect();
   SetDeadline(give_up_at_);
   WriteRequest();
@@ -55,7 +55,7 @@
   if (state_ == State::kClosed) return;
   state_ = State::kClosed;
   timer_.cancel();
-  CloseNow(socket_);
+  CloseSocket(socket_);
   owner_->OnClosed();
 }
 
@@ -81,7 +81,7 @@
 }
 
 void BackendConnection::Connect() {
-  error_code error = Open(socket_, address_);
+  error_code error = OpenSocket(socket_, address_);
   if (error) {  // descriptors or memory are exhausted: no fault of the backend
     return asio::post(io_, [self = shared_from_this(), this] { Fail(CallResult::kNeverSent); });
   }
@@ -132,7 +132,7 @@
 
 void BackendConnection::Read() {
   read_pending_ = true;
-  socket_.async_read_some(buffer_.prepare(kReadChunk),
+  socket_.async_read_some(buffer_.prepare(kReadChunkBytes),
                           [self = shared_from_this(), this](error_code error, size_t n) {
                             read_pending_ = false;
                             if (state_ == State::kClosed) return;
@@ -159,12 +159,12 @@
 void BackendConnection::ParseResponse() {
   for (;;) {
     // Bytes that are no HTTP, or a response past a limit, end this exchange.
-    bool failed = Feed(*parser_, buffer_) || interim_responses_ > kMaxInterimResponses;
+    bool failed = FeedParser(*parser_, buffer_) || interim_responses_ > kMaxInterimResponses;
     if (failed) return Fail(IsRequestWritten() ? CallResult::kReset : CallResult::kConnectFailed);
     if (!parser_->is_done()) return;
     if (http::to_status_class(parser_->get().result_int()) != http::status_class::informational) break;
     ++interim_responses_;
-    Renew(&parser_, kMaxResponseBody);
+    ResetParser(&parser_, kMaxResponseBody);
   }
   // A response to a request that is not completely written: the request has not begun to run, and what the
   // response belongs to is in doubt.
--- a/src/net/backend_connection.h
+++ b/src/net/backend_connection.h
@@ -132,7 +132,7 @@
   const tcp::endpoint address_;
   tcp::socket socket_;
   asio::steady_timer timer_;  // of the connect, then of the attempt, then of the idle connection
-  boost::beast::flat_buffer buffer_{kMaxBody + kMaxHeader};
+  boost::beast::flat_buffer buffer_{kMaxBodyBytes + kMaxHeaderBytes};
   std::optional<http::response_parser<http::string_body>> parser_;
   State state_ = State::kNew;
   bool read_pending_ = false;
--- a/src/net/backend_request.cpp
+++ b/src/net/backend_request.cpp
@@ -17,7 +17,7 @@
 std::string BuildBackendRequestHead(const ClientRequest& message) {
   std::string head;
   head.reserve(kTypicalHeadBytes);
-  head.append(View(message.method_string())).append(" ").append(View(message.target()));
+  head.append(ToStringView(message.method_string())).append(" ").append(ToStringView(message.target()));
   head.append(" HTTP/1.1\r\n");
   AppendEndToEnd(message, &head, [](const auto& field) {
     return boost::beast::iequals(field.name_string(), kTimeoutMsField);
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -57,7 +57,7 @@
 }
 
 void ClientServer::OnAccepted(tcp::socket socket) {
-  Prepare(socket);
+  ConfigureSocket(socket);
   uint64_t id = ++last_id_;
   ClientSession::Owner* owner = this;
   auto session = std::make_shared<ClientSession>(io_, owner, id, std::move(socket), request_timeout_);
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -10,7 +10,7 @@
 
 // What is read of a client ahead of its response, in bytes. Beyond that nothing is read until it is answered,
 // so that clients cannot fill the memory.
-constexpr size_t kMaxReadAhead = 2 * kMaxHeader;
+constexpr size_t kMaxReadAhead = 2 * kMaxHeaderBytes;
 constexpr size_t kMaxEmptyLineBytes = 64;  // ahead of a request
 constexpr size_t kMaxLingeringBytes = size_t{1} << 20;
 constexpr auto kLingerTimeout = std::chrono::seconds(1);  // for a client to read its last response
@@ -35,7 +35,7 @@
       request_timeout_(request_timeout),
       socket_(std::move(socket)),
       timer_(io),
-      buffer_(kMaxReadAhead + kReadChunk) {}
+      buffer_(kMaxReadAhead + kReadChunkBytes) {}
 
 // Guards against clients that connect and send nothing, or never a complete request: the time for it runs
 // from the first moment.
@@ -56,13 +56,13 @@
 }
 
 bool ClientSession::CloseIfIdle() {
-  if (state_ != State::kIdle || Unread(socket_)) return false;
+  if (state_ != State::kIdle || HasUnreadBytes(socket_)) return false;
   Close();
   return true;
 }
 
 bool ClientSession::CloseIfIncomplete() {
-  if (!eviction_position_.incomplete.has_value() || Unread(socket_)) return false;
+  if (!eviction_position_.incomplete.has_value() || HasUnreadBytes(socket_)) return false;
   Close();
   return true;
 }
@@ -73,14 +73,14 @@
   bool request_pending = state_ == State::kAwaitingResponse;
   state_ = State::kClosed;
   timer_.cancel();
-  CloseNow(socket_);
+  CloseSocket(socket_);
   owner_->OnClosed(this, request_pending);
 }
 
 void ClientSession::Detach() {
   state_ = State::kClosed;
   timer_.cancel();
-  CloseNow(socket_);
+  CloseSocket(socket_);
 }
 
 // Ready for the next request, of which bytes may have come already.
@@ -88,7 +88,7 @@
   state_ = State::kIdle;
   continue_sent_ = request_overdue_ = false;
   empty_line_bytes_ = 0;
-  Renew(&parser_, kMaxBody);
+  ResetParser(&parser_, kMaxBodyBytes);
   owner_->OnIdle(this);
 }
 
@@ -106,7 +106,7 @@
   read_pending_ = false;
   if (state_ == State::kClosed) return;
   size_t received = 0;
-  if (!error) received = socket_.receive(buffer_.prepare(kReadChunk), 0, error);
+  if (!error) received = socket_.receive(buffer_.prepare(kReadChunkBytes), 0, error);
   if (error == asio::error::would_block) return Read();
   // The end of a client's sending while its response is being written ends the session only when that is out.
   // In any other state the client has left.
@@ -127,7 +127,7 @@
     if (lingering_bytes_ > kMaxLingeringBytes) Close();
   } else if (IsReading()) {
     Parse();
-    if (request_overdue_ && IsReading() && !Unread(socket_)) Close();
+    if (request_overdue_ && IsReading() && !HasUnreadBytes(socket_)) Close();
   }
 }
 
@@ -161,7 +161,7 @@
     state_ = State::kReceiving;
     owner_->OnIncomplete(this);
   }
-  if (error_code error = Feed(*parser_, buffer_)) return RejectUnreadable(error);
+  if (error_code error = FeedParser(*parser_, buffer_)) return RejectUnreadable(error);
   if (parser_->is_done()) return OnRequestComplete();
   SendContinueIfExpected();
   ArmRequestTimeout();
@@ -187,7 +187,7 @@
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
     if (cancelled || !request_timeout_armed_ || !IsReading()) return;
     request_overdue_ = true;  // what has come by now is read first: it may be the rest
-    if (!Unread(socket_)) Close();
+    if (!HasUnreadBytes(socket_)) Close();
   });
 }
 
@@ -228,8 +228,8 @@
   if (error || client_sends_no_more_) {
     return asio::post(io_, [self = shared_from_this(), this] { Close(); });
   }
-  if (message_.capacity() > kMaxHeader) message_ = std::string();
-  if (buffer_.size() == 0 && buffer_.capacity() > kReadChunk) buffer_.shrink_to_fit();
+  if (message_.capacity() > kMaxHeaderBytes) message_ = std::string();
+  if (buffer_.size() == 0 && buffer_.capacity() > kReadChunkBytes) buffer_.shrink_to_fit();
   if (!keep_alive) return Linger();
   BecomeIdle();
   ReadNextRequest();
--- a/src/net/connection_limits.cpp
+++ b/src/net/connection_limits.cpp
@@ -14,7 +14,7 @@
 constexpr double kBytesPerMb = 1 << 20;
 constexpr double kProcessMb = 8;
 // A client's exchange keeps its request, the copy of it that goes to a backend, and the response.
-constexpr double kMaxExchangeMb = 3.0 * (kMaxBody + kMaxHeader) / kBytesPerMb;
+constexpr double kMaxExchangeMb = 3.0 * (kMaxBodyBytes + kMaxHeaderBytes) / kBytesPerMb;
 
 }  // namespace
 
--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -16,7 +16,7 @@
     : io_(io), options_(options), owner_(owner), socket_(io), timer_(io) {}
 
 void CounterConnection::Connect() {
-  error_code error = Open(socket_, options_.address);
+  error_code error = OpenSocket(socket_, options_.address);
   if (error) return asio::post(io_, [self = shared_from_this(), this] { Close(true); });
   timer_.expires_after(options_.connect_timeout);
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
@@ -69,7 +69,7 @@
   state_ = State::kClosed;
   auto self = shared_from_this();  // the owner may drop the last other reference
   timer_.cancel();
-  CloseNow(socket_);
+  CloseSocket(socket_);
   // An address that calls no longer go to needs no backoff.
   owner_->OnConnectionClosed(this, unreachable && !was_draining);
   auto calls = std::move(calls_);
@@ -80,7 +80,7 @@
 void CounterConnection::Detach() {
   state_ = State::kClosed;
   timer_.cancel();
-  CloseNow(socket_);
+  CloseSocket(socket_);
 }
 
 // Marks all calls as written before the write: until it has ended, any of them may have gone out complete,
--- a/src/net/counter_connection.h
+++ b/src/net/counter_connection.h
@@ -79,7 +79,7 @@
 
   // Whether an open connection can take a call. An idle one may have been closed by the counter, which is
   // noticed here before the event of it.
-  bool IsUsable() { return !calls_.empty() || !Stale(socket_); }
+  bool IsUsable() { return !calls_.empty() || !IsStale(socket_); }
 
  private:
   enum class State { kConnecting, kOpen, kDraining, kClosed };
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -48,7 +48,7 @@
   address_ = address;
   need_full_list_ = true;
   failures_ = 0;
-  CloseNow(socket_);
+  CloseSocket(socket_);
   Poll();
 }
 
@@ -61,16 +61,16 @@
   auto wait = std::chrono::ceil<std::chrono::milliseconds>(
       DetectionFraction(may_wait ? options_.watch_wait_fraction : 0));
   ComposeRequest(watch, wait);
-  Renew(&parser_, kMaxListBytes);
+  ResetParser(&parser_, kMaxListBytes);
   interim_responses_ = 0;
   max_silence_ = wait + MaxSilence();
   began_at_ = Clock::now();
   response_deadline_ = began_at_ + wait + Seconds(options_.response_timeout_s);
   AwaitBytes();
-  if (socket_.is_open() && !Stale(socket_)) {
+  if (socket_.is_open() && !IsStale(socket_)) {
     Send();
   } else {
-    CloseNow(socket_);
+    CloseSocket(socket_);
     Connect();
   }
 }
@@ -87,7 +87,7 @@
 void DiscoveryClient::Connect() {
   state_ = State::kConnecting;
   buffer_.clear();
-  error_code error = Open(socket_, address_);
+  error_code error = OpenSocket(socket_, address_);
   if (error) return Fail();
   socket_.async_connect(address_, [this, exchange = exchange_id_](error_code failed) {
     if (exchange != exchange_id_) return;
@@ -106,7 +106,7 @@
 }
 
 void DiscoveryClient::Receive() {
-  socket_.async_read_some(buffer_.prepare(kReadChunk),
+  socket_.async_read_some(buffer_.prepare(kReadChunkBytes),
                           [this, exchange = exchange_id_](error_code error, size_t size) {
                             if (exchange == exchange_id_) OnBytes(error, size);
                           });
@@ -132,12 +132,12 @@
 // Passes over interim responses.
 error_code DiscoveryClient::ParseReceived() {
   error_code error;
-  if (!parser_->is_done()) error = Feed(*parser_, buffer_);
+  if (!parser_->is_done()) error = FeedParser(*parser_, buffer_);
   while (!error && parser_->is_done() && parser_->get().result_int() / 100 == 1) {
     if (interim_responses_ >= kMaxInterimResponses) return http::error::bad_status;
     ++interim_responses_;
-    Renew(&parser_, kMaxListBytes);
-    error = Feed(*parser_, buffer_);
+    ResetParser(&parser_, kMaxListBytes);
+    error = FeedParser(*parser_, buffer_);
   }
   return error;
 }
@@ -148,7 +148,7 @@
   if (!parsed || !IsAcceptable(*parsed)) return Fail();
   EndpointList& list = *parsed;
 
-  if (!parser_->keep_alive() || buffer_.size() > 0) CloseNow(socket_);
+  if (!parser_->keep_alive() || buffer_.size() > 0) CloseSocket(socket_);
   bool nothing_new = !need_full_list_ && index_ == list.index;
   bool early = Clock::now() - began_at_ <
                DetectionFraction(options_.watch_wait_fraction * options_.early_response_fraction);
@@ -190,7 +190,7 @@
 // After a short gap a watch goes on from the same index. After a longer one the full list is asked for, so
 // that no change is missed whatever the agent still remembers.
 void DiscoveryClient::Fail() {
-  CloseNow(socket_);
+  CloseSocket(socket_);
   if (++failures_ >= kFailuresBeforeFullList) need_full_list_ = true;
   PollAfter(Backoff());
   on_failed_();
@@ -218,7 +218,7 @@
   if (state_ == State::kPausing) return Poll();
   // Bytes that have come and are not read yet, in a busy event loop, are no silence.
   bool overdue = Clock::now() >= response_deadline_;
-  if (!overdue && socket_.is_open() && Unread(socket_)) return AwaitBytes();
+  if (!overdue && socket_.is_open() && HasUnreadBytes(socket_)) return AwaitBytes();
   Fail();
 }
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -202,7 +202,7 @@
 void Gateway::Execute(const policy::PollDiscovery& /*action*/) { discovery_.Start(); }
 
 void Gateway::OnClientMessage(uint64_t connection, ClientRequest message) {
-  std::string_view target = View(message.target());
+  std::string_view target = ToStringView(message.target());
   if (target.substr(0, std::string_view(kAdminPathPrefix).size()) == kAdminPathPrefix) {
     return AnswerAdminRequest(connection, target);
   }
--- a/src/net/http_framing.cpp
+++ b/src/net/http_framing.cpp
@@ -7,7 +7,7 @@
 error_code CheckHead(std::string_view bytes, bool* complete) {
   size_t end = bytes.find("\r\n\r\n");
   *complete = end != std::string_view::npos;
-  if (std::min(end, bytes.size()) > kMaxHeader) return http::error::header_limit;
+  if (std::min(end, bytes.size()) > kMaxHeaderBytes) return http::error::header_limit;
   if (!*complete) return {};
   std::string_view head = bytes.substr(0, end);
   for (std::string_view fold : {"\r\n ", "\r\n\t"}) {
--- a/src/net/http_headers.cpp
+++ b/src/net/http_headers.cpp
@@ -2,7 +2,7 @@
 
 namespace gateway::net {
 
-bool HopByHop(http::field name) {
+bool IsHopByHop(http::field name) {
   switch (name) {
     case http::field::connection:
     case http::field::keep_alive:
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -10,11 +10,11 @@
 
 namespace http = boost::beast::http;
 
-inline std::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
+inline std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
 // Whether a field ends at this hop (RFC 9110, 7.6.1) or is written by the gateway itself, as Content-Length
 // and Expect are.
-bool HopByHop(http::field name);
+bool IsHopByHop(http::field name);
 
 // Appends the field lines of a message that go on to the next hop, each "Name: value\r\n", in their order.
 // Left out are hop-by-hop fields, those that the message's Connection field names, and those for which
@@ -23,8 +23,11 @@
 void AppendEndToEnd(const Fields& fields, std::string* out, Skip skip) {
   http::token_list named_by_connection(fields[http::field::connection]);
   for (const auto& field : fields) {
-    if (HopByHop(field.name()) || named_by_connection.exists(field.name_string()) || skip(field)) continue;
-    out->append(View(field.name_string())).append(": ").append(View(field.value())).append("\r\n");
+    if (IsHopByHop(field.name()) || named_by_connection.exists(field.name_string()) || skip(field)) continue;
+    out->append(ToStringView(field.name_string()))
+        .append(": ")
+        .append(ToStringView(field.value()))
+        .append("\r\n");
   }
 }
 
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -66,11 +66,11 @@
 // The class is the first part of the path.
 bool ParseClassAndPlan(const ClientRequest& message, const config::DeploymentSettings& deployment,
                        policy::Request* request) {
-  std::string_view target = View(message.target());
+  std::string_view target = ToStringView(message.target());
   if (target.empty() || target.front() != '/') return false;
   size_t end = std::min(target.find_first_of("/?#", 1), target.size());
   request->request_class = IndexOfName(deployment.class_names, target.substr(1, end - 1));
-  request->plan = IndexOfName(deployment.plan_names, View(message[kPlanField]));
+  request->plan = IndexOfName(deployment.plan_names, ToStringView(message[kPlanField]));
   return request->request_class >= 0 && request->plan >= 0;
 }
 
@@ -86,7 +86,7 @@
 }
 
 std::optional<uint64_t> ParseTenant(const ClientRequest& message) {
-  auto digits = FindListItem(View(message[http::field::cookie]), ';', kTenantCookie);
+  auto digits = FindListItem(ToStringView(message[http::field::cookie]), ';', kTenantCookie);
   if (!digits || digits->size() > kMaxTenantDigits) return std::nullopt;
   auto tenant = ParseNumber<uint64_t>(*digits, 16);
   if (!tenant || *tenant >= kTenantNumberLimit) return std::nullopt;
@@ -94,7 +94,7 @@
 }
 
 std::optional<double> ParseTimeout(const ClientRequest& message, double deadline_s) {
-  auto timeout_ms = ParseNumber<unsigned long>(View(message[kTimeoutMsField]));
+  auto timeout_ms = ParseNumber<unsigned long>(ToStringView(message[kTimeoutMsField]));
   if (!timeout_ms || *timeout_ms < 1 || *timeout_ms > kMaxTimeoutMs) return std::nullopt;
   return std::min(static_cast<double>(*timeout_ms) / 1000, deadline_s);
 }
@@ -129,7 +129,7 @@
   if (!ParseClassAndPlan(message, config.site, &request)) return http::status::bad_request;
   if (HasRepeatedField(message)) return http::status::bad_request;
 
-  parsed.client_request_id = View(message[kRequestIdField]);
+  parsed.client_request_id = ToStringView(message[kRequestIdField]);
   if (parsed.client_request_id.empty() || parsed.client_request_id.size() > kMaxRequestIdBytes) {
     return http::status::bad_request;
   }
@@ -144,11 +144,11 @@
   if (!timeout_s) return http::status::bad_request;
   parsed.timeout_s = *timeout_s;
 
-  if (!ParseQuotaTerms(View(message[kQuotaTermsField]), config.settings, &request)) {
+  if (!ParseQuotaTerms(ToStringView(message[kQuotaTermsField]), config.settings, &request)) {
     return http::status::bad_request;
   }
   bool needs_key = class_settings.idempotency == Idempotency::kIdempotencyKey;
-  if (needs_key && View(message[kIdempotencyKeyField]).empty()) return http::status::bad_request;
+  if (needs_key && ToStringView(message[kIdempotencyKeyField]).empty()) return http::status::bad_request;
 
   parsed.idempotent = class_settings.idempotency == Idempotency::kIdempotent;
   http::verb method = parsed.idempotent ? http::verb::get : http::verb::post;
--- a/src/net/socket_util.cpp
+++ b/src/net/socket_util.cpp
@@ -2,32 +2,32 @@
 
 namespace gateway::net {
 
-error_code Prepare(tcp::socket& socket) {
+error_code ConfigureSocket(tcp::socket& socket) {
   error_code error;
   socket.non_blocking(true, error);
   if (!error) socket.set_option(tcp::no_delay(true), error);
   return error;
 }
 
-error_code Open(tcp::socket& socket, const tcp::endpoint& address) {
+error_code OpenSocket(tcp::socket& socket, const tcp::endpoint& address) {
   error_code error;
   socket.open(address.protocol(), error);
-  return error ? error : Prepare(socket);
+  return error ? error : ConfigureSocket(socket);
 }
 
-void CloseNow(tcp::socket& socket) {
+void CloseSocket(tcp::socket& socket) {
   error_code ignored;
   socket.close(ignored);
 }
 
-bool Stale(tcp::socket& socket) {
+bool IsStale(tcp::socket& socket) {
   char byte;
   error_code error;
   socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error);
   return error != asio::error::would_block;
 }
 
-bool Unread(tcp::socket& socket) {
+bool HasUnreadBytes(tcp::socket& socket) {
   char byte;
   error_code error;
   return socket.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error) > 0;
