--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -7,7 +7,9 @@
 #include "net/backend_connection_pool.h"
 #include "net/client_server.h"
 #include "net/discovery_client.h"
+#include "support/event_loop.h"
 #include "support/gateway_fixture.h"
+#include "support/manual_listener.h"
 
 namespace gateway::net {
 namespace {
@@ -15,58 +17,6 @@
 using namespace test_support;
 using policy::CallResult;
 
-boost::asio::ip::tcp::endpoint At(int port) {
-  return {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)};
-}
-
-// A loop that runs one handler at a time, until what the test waits for has come.
-struct Loop {
-  void Until(const std::function<bool()>& done) {
-    auto end = Clock::now() + std::chrono::seconds(kLimitS);
-    while (!done() && Clock::now() < end) {
-      io.restart();
-      io.run_one_for(std::chrono::milliseconds(20));
-    }
-    EXPECT_TRUE(done());
-  }
-  boost::asio::io_context io;
-};
-
-// A listener that takes connections only when the test does.
-class Listener {
- public:
-  explicit Listener(int places = 64) {
-    sockaddr_in at;
-    fd_ = Loopback(&at, 0);
-    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
-    EXPECT_EQ(listen(fd_, places), 0);
-    socklen_t size = sizeof(at);
-    getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-    port_ = ntohs(at.sin_port);
-  }
-  ~Listener() { close(fd_); }
-  int port() const { return port_; }
-  std::unique_ptr<Wire> Take() { return std::make_unique<Wire>(accept(fd_, nullptr, nullptr)); }
-  bool Waiting() const {
-    pollfd ready{fd_, POLLIN, 0};
-    return poll(&ready, 1, 0) > 0;
-  }
-  // All that has come on connections that are there now, once their other sides have ended.
-  std::string All() {
-    std::string all;
-    while (Waiting()) {
-      auto wire = Take();
-      while (wire->More()) {
-      }
-      all += wire->unread;
-    }
-    return all;
-  }
-
- private:
-  int fd_ = -1, port_ = 0;
-};
-
 // The pool among backends of the test's own: one attempt at a time, and how it ended.
 struct Pool : Loop {
   explicit Pool(double settle_s = 0) : pool(io, 30, 5, 0.5, 100, settle_s) {}
--- /dev/null
+++ b/tests/support/gateway_process.h
@@ -0,0 +1,110 @@
+// The gateway as a process of its own.
+#ifndef GATEWAY_TESTS_SUPPORT_GATEWAY_PROCESS_H_
+#define GATEWAY_TESTS_SUPPORT_GATEWAY_PROCESS_H_
+
+#include <gtest/gtest.h>
+#include <sys/resource.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <csignal>
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <thread>
+
+#include "support/test_connection.h"
+
+namespace gateway::test_support {
+
+using nlohmann::json;
+
+// A gateway process on a free port. On destruction it gets SIGTERM and must exit with 0.
+class Process {
+ public:
+  // `descriptors`: the limit on open files; 0 leaves it as it is. Returns when the first log line is there.
+  explicit Process(const json& config, const char* program = API_GATEWAY, rlim_t descriptors = 0)
+      : Process(config.dump(), program, descriptors) {}
+  Process(const std::string& config, const char* program, rlim_t descriptors) {
+    char path[] = "/tmp/api-gateway-test-XXXXXX";
+    int file = mkstemp(path);
+    EXPECT_GE(file, 0);
+    path_ = path;
+    EXPECT_EQ(write(file, config.data(), config.size()), static_cast<ssize_t>(config.size()));
+    close(file);
+    int ends[2];
+    EXPECT_EQ(pipe(ends), 0);
+    pid_ = fork();
+    if (pid_ == 0) {
+      dup2(ends[1], 2);
+      for (int fd = 3; fd < 1024; ++fd) close(fd);
+      setenv("LB_CONFIG", path, 1);
+      rlimit limit{descriptors, descriptors};
+      if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
+      execl(program, program, static_cast<char*>(nullptr));
+      _exit(127);
+    }
+    close(ends[1]);
+    err_ = ends[0];
+    char c;
+    while (read(err_, &c, 1) == 1 && c != '\n') line += c;
+    size_t colon = line.rfind(':');
+    if (line.find(" listens on ") != std::string::npos) port = std::atoi(line.c_str() + colon + 1);
+    draining_ = std::thread([this] {  // its log must not fill the pipe
+      char part[4096];
+      ssize_t n;
+      while ((n = read(err_, part, sizeof(part))) > 0) rest.append(part, static_cast<size_t>(n));
+    });
+  }
+  ~Process() {
+    if (pid_ > 0) {
+      Signal(SIGTERM);
+      EXPECT_EQ(Exit(), 0);
+    }
+    unlink(path_.c_str());
+  }
+  void Signal(int signal) { kill(pid_, signal); }
+  // Replaces the configuration file in one step and sends SIGHUP.
+  void Reload(const std::string& config) {
+    std::string fresh = path_ + ".new";
+    std::ofstream(fresh) << config;
+    EXPECT_EQ(rename(fresh.c_str(), path_.c_str()), 0);
+    Signal(SIGHUP);
+  }
+  // Waits for the process to end. Its exit status, or the negative number of the signal that ended it.
+  int Exit() {
+    int status = 0;
+    waitpid(pid_, &status, 0);
+    pid_ = -1;
+    draining_.join();
+    close(err_);
+    return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+  }
+  // The most memory that was resident so far, in MB. 0 under a sanitizer, whose own memory would count.
+  double peak_mb() const {
+#ifdef __SANITIZE_ADDRESS__
+    return 0;
+#endif
+    std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
+    for (std::string text; std::getline(status, text);) {
+      if (text.rfind("VmHWM:", 0) == 0) return std::atof(text.c_str() + 6) / 1024;
+    }
+    return 0;
+  }
+  std::unique_ptr<Wire> Connect() const { return Wire::To(port); }
+  int port = 0;            // that it listens on; 0 where it did not start
+  std::string line, rest;  // the log: its first line, and after Exit the others
+
+ private:
+  pid_t pid_ = -1;
+  int err_ = -1;
+  std::string path_;
+  std::thread draining_;
+};
+
+}  // namespace gateway::test_support
+
+#endif  // GATEWAY_TESTS_SUPPORT_GATEWAY_PROCESS_H_
--- /dev/null
+++ b/tests/support/stub_server.h
@@ -0,0 +1,85 @@
+// A TCP server of the test's own.
+#ifndef GATEWAY_TESTS_SUPPORT_STUB_SERVER_H_
+#define GATEWAY_TESTS_SUPPORT_STUB_SERVER_H_
+
+#include <gtest/gtest.h>
+#include <netinet/in.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <atomic>
+#include <functional>
+#include <memory>
+#include <mutex>
+#include <thread>
+#include <utility>
+#include <vector>
+
+#include "support/test_connection.h"
+
+namespace gateway::test_support {
+
+// Accepts connections on a free loopback port and runs `handler` for each, on a thread of its own. The
+// connection ends when the handler returns.
+class Server {
+ public:
+  using Handler = std::function<void(Wire&)>;
+  explicit Server(Handler handler) : handler_(std::move(handler)) {
+    sockaddr_in at;
+    fd_ = Loopback(&at, 0);
+    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+    EXPECT_EQ(listen(fd_, 256), 0);
+    socklen_t size = sizeof(at);
+    getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
+    port_ = ntohs(at.sin_port);
+    accepting_ = std::thread([this] {
+      for (;;) {
+        int fd = accept(fd_, nullptr, nullptr);
+        if (fd < 0) return;
+        std::lock_guard lock(mutex_);
+        if (stopping_) return void(close(fd));
+        ++connections;
+        wires_.push_back(std::make_unique<Wire>(fd));
+        threads_.emplace_back([this, wire = wires_.back().get()] {
+          handler_(*wire);
+          wire->Stop();
+        });
+      }
+    });
+  }
+  ~Server() { Stop(); }
+  // Ends all connections and waits for their handlers.
+  void Stop() {
+    if (fd_ < 0) return;
+    {
+      std::lock_guard lock(mutex_);
+      stopping_ = true;
+      for (auto& wire : wires_) wire->Stop();
+    }
+    shutdown(fd_, SHUT_RDWR);
+    accepting_.join();
+    for (auto& thread : threads_) thread.join();
+    close(fd_);
+    fd_ = -1;
+  }
+  int port() const { return port_; }
+  std::atomic<int> connections{0};  // accepted so far
+
+ private:
+  Handler handler_;
+  int fd_ = -1, port_ = 0;
+  std::mutex mutex_;
+  bool stopping_ = false;
+  std::vector<std::unique_ptr<Wire>> wires_;
+  std::vector<std::thread> threads_;
+  std::thread accepting_;
+};
+
+// A port where nothing listens.
+inline int DeadPort() {
+  return Server([](Wire&) {}).port();
+}
+
+}  // namespace gateway::test_support
+
+#endif  // GATEWAY_TESTS_SUPPORT_STUB_SERVER_H_
