--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,13 +1,14 @@
-// What is wrong with a configuration.
+// The error of everything that reads a configuration.
 #ifndef GATEWAY_CONFIG_CONFIG_ERROR_H_
 #define GATEWAY_CONFIG_CONFIG_ERROR_H_
 
 #include <stdexcept>
 #include <string>
+#include <utility>
 
 namespace gateway::config {
 
-// Thrown by everything that reads a configuration. what() is a whole message for an operator.
+// What is wrong with a configuration, and at which key. what() is a complete message in one line.
 class ConfigError : public std::runtime_error {
  public:
   // `path`: the key at fault, as in "limits.sockets"; empty where the file as a whole is.
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -1,137 +1,121 @@
 #include "config/gateway_config.h"
 
+#include <algorithm>
 #include <charconv>
 #include <fstream>
 #include <sstream>
+#include <system_error>
+
+#include "config/address_parser.h"
+#include "config/json_flattener.h"
 
 namespace gateway::config {
 namespace {
 
+using boost::asio::ip::tcp;
 using nlohmann::json;
 
-void FlattenInto(const std::string& path, const json& value, std::string* out) {
-  auto line = [&](const std::string& key, const std::string& text) { *out += key + "=" + text + "\n"; };
-  auto plain = [](const json& v) { return v.is_string() ? PlainName(v.get<std::string>()) : v.dump(); };
-  if (value.is_object()) {
-    for (const auto& [key, inner] : value.items()) {
-      FlattenInto(path.empty() ? key : path + "." + key, inner, out);
-    }
-  } else if (value.is_array()) {
-    bool objects = !value.empty() && value.front().is_object();
-    if (objects || value.empty()) line(path + ".count", std::to_string(value.size()));
-    if (objects) {
-      for (size_t i = 0; i < value.size(); ++i) FlattenInto(path + "." + std::to_string(i), value[i], out);
-      return;
-    }
-    std::string joined;
-    for (const json& item : value) joined += (joined.empty() ? "" : ",") + plain(item);
-    line(path, joined);
-  } else {
-    line(path, plain(value));
-  }
-}
+constexpr int kMinSockets = 64;
+constexpr int kMinMemoryMb = 16;
+constexpr int kMaxLimit = 1000000;
 
-std::string Text(const json& from, const char* key) {
-  auto it = from.find(key);
-  if (it == from.end()) throw ConfigError::Missing(key);
+std::string ParseString(const json& object, const char* key) {
+  auto it = object.find(key);
+  if (it == object.end()) throw ConfigError::Missing(key);
   if (!it->is_string()) throw ConfigError::Unreadable(key);
   return it->get<std::string>();
 }
 
-}  // namespace
+tcp::endpoint ParseAddressAt(const json& object, const char* key) {
+  return ParseAddress(key, ParseString(object, key));
+}
 
-std::string PlainName(std::string_view name) {
-  std::string plain(name);
-  for (char& c : plain) {
-    if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
-  }
-  return plain;
+std::optional<tcp::endpoint> ParseCounterAddress(const json& object) {
+  auto it = object.find("counter");
+  if (it == object.end() || it->is_null()) return std::nullopt;
+  return ParseAddressAt(object, "counter");
 }
 
-std::string Flatten(const json& settings) {
-  std::string out;
-  FlattenInto("", settings, &out);
-  return out;
+uint64_t ParseSeed(const json& object) {
+  std::string digits = ParseString(object, "seed");
+  const char* digits_end = digits.data() + digits.size();
+  uint64_t seed = 0;
+  auto [end, error] = std::from_chars(digits.data(), digits_end, seed, 16);
+  if (error != std::errc() || end != digits_end) throw ConfigError::Unreadable("seed", digits);
+  return seed;
 }
 
-tcp::endpoint ParseAddress(const std::string& key, const std::string& text) {
-  size_t colon = text.rfind(':');
-  uint16_t port = 0;
-  boost::system::error_code error;
-  boost::asio::ip::address address;
-  bool good = colon != std::string::npos;
-  if (good) {
-    std::string host = text.substr(0, colon);
-    if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
-    address = boost::asio::ip::make_address(host, error);
-    auto [end, bad] = std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
-    good = !error && bad == std::errc() && end == text.data() + text.size();
+// Leaves the default where there is no such key.
+void ParseLimit(const json& limits, const char* key, int min, int* limit) {
+  auto it = limits.find(key);
+  if (it == limits.end()) return;
+  if (!it->is_number_integer() || *it < min || *it > kMaxLimit) {
+    throw ConfigError::Unreadable(std::string("limits.") + key);
   }
-  if (!good) throw ConfigError::Unreadable(key, text);
-  return {address, port};
+  *limit = it->get<int>();
 }
 
-GatewayConfig ParseGatewayConfig(const std::string& text) {
-  json all = json::parse(text, nullptr, false);
-  if (!all.is_object()) throw ConfigError("", "the configuration is not a JSON object");
-  GatewayConfig config;
-  config.name = Text(all, "name");
-  config.listen = ParseAddress("listen", Text(all, "listen"));
-  config.discovery = ParseAddress("discovery", Text(all, "discovery"));
-  if (all.contains("counter") && !all["counter"].is_null()) {
-    config.counter = ParseAddress("counter", Text(all, "counter"));
-    config.has_counter = true;
-  }
-  std::string seed = Text(all, "seed");
-  auto [end, bad] = std::from_chars(seed.data(), seed.data() + seed.size(), config.seed, 16);
-  if (bad != std::errc() || end != seed.data() + seed.size()) {
-    throw ConfigError::Unreadable("seed", seed);
-  }
-  if (auto limits = all.find("limits"); limits != all.end()) {
-    if (!limits->is_object()) throw ConfigError::Unreadable("limits");
-    auto read = [&](const char* key, int least, int* value) {
-      auto it = limits->find(key);
-      if (it == limits->end()) return;
-      if (!it->is_number_integer() || *it < least || *it > 1000000) {
-        throw ConfigError::Unreadable(std::string("limits.") + key);
-      }
-      *value = it->get<int>();
-    };
-    read("sockets", 64, &config.sockets);
-    read("memory_mb", 16, &config.memory_mb);
-  }
-  if (auto known = all.find("known"); known != all.end()) config.known = *known;
-  auto settings = all.find("settings");
-  if (settings == all.end()) throw ConfigError::Missing("settings");
+void ParseLimits(const json& object, GatewayConfig* config) {
+  auto limits = object.find("limits");
+  if (limits == object.end()) return;
+  if (!limits->is_object()) throw ConfigError::Unreadable("limits");
+  ParseLimit(*limits, "sockets", kMinSockets, &config->max_sockets);
+  ParseLimit(*limits, "memory_mb", kMinMemoryMb, &config->max_memory_mb);
+}
+
+const json& FindSettings(const json& object) {
+  auto settings = object.find("settings");
+  if (settings == object.end()) throw ConfigError::Missing("settings");
   if (!settings->is_object()) throw ConfigError::Unreadable("settings");
-  std::string flat = Flatten(*settings);
-  config.settings = ParseSettings(flat);
-  config.site = ParseDeploymentSettings(flat);
-  if (config.settings.counter_enabled && !config.has_counter) throw ConfigError::Missing("counter");
-  return config;
+  return *settings;
 }
 
-void CheckSameGateway(const GatewayConfig& now, const GatewayConfig& fresh) {
-  auto effects = [](const GatewayConfig& config) {
-    std::vector<policy::Idempotency> all;
-    for (const auto& cls : config.settings.classes) all.push_back(cls.idempotency);
-    return all;
+bool HaveSameClasses(const GatewayConfig& one, const GatewayConfig& other) {
+  auto has_same_idempotency = [](const policy::ClassSettings& a, const policy::ClassSettings& b) {
+    return a.idempotency == b.idempotency;
   };
-  const char* other = fresh.name != now.name       ? "name"
-                      : fresh.listen != now.listen ? "listen"
-                      : fresh.site.class_names != now.site.class_names || effects(fresh) != effects(now)
-                          ? "settings.request-classes"
-                      : fresh.site.plan_names != now.site.plan_names ? "settings.tiers-of-service"
-                                                                     : nullptr;
-  if (other != nullptr)
-    throw ConfigError(other, std::string("the configuration is another gateway's: ") + other);
+  return one.deployment.class_names == other.deployment.class_names &&
+         std::equal(one.settings.classes.begin(), one.settings.classes.end(), other.settings.classes.begin(),
+                    other.settings.classes.end(), has_same_idempotency);
+}
+
+}  // namespace
+
+GatewayConfig ParseGatewayConfig(const std::string& text) {
+  json object = json::parse(text, nullptr, false);
+  if (!object.is_object()) throw ConfigError("", "the configuration is not a JSON object");
+  GatewayConfig config;
+  config.name = ParseString(object, "name");
+  config.listen_address = ParseAddressAt(object, "listen");
+  config.discovery_address = ParseAddressAt(object, "discovery");
+  config.counter_address = ParseCounterAddress(object);
+  config.seed = ParseSeed(object);
+  ParseLimits(object, &config);
+  if (auto list = object.find("known"); list != object.end()) config.cached_endpoint_list = *list;
+  std::string flat_settings = FlattenSettings(FindSettings(object));
+  config.settings = ParseSettings(flat_settings);
+  config.deployment = ParseDeploymentSettings(flat_settings);
+  if (config.settings.counter_enabled && !config.counter_address) throw ConfigError::Missing("counter");
+  return config;
 }
 
-GatewayConfig LoadGatewayConfig(const std::string& path) {
-  std::ifstream in(path);
+GatewayConfig LoadGatewayConfig(const std::string& file_name) {
+  std::ifstream file(file_name);
   std::stringstream text;
-  if (!in || !(text << in.rdbuf())) throw ConfigError("", "cannot read the configuration " + path);
+  if (!file || !(text << file.rdbuf())) {
+    throw ConfigError("", "cannot read the configuration " + file_name);
+  }
   return ParseGatewayConfig(text.str());
 }
 
+void CheckSameGateway(const GatewayConfig& current, const GatewayConfig& fresh) {
+  auto check = [](bool same, const char* path) {
+    if (!same) throw ConfigError(path, std::string("the configuration is another gateway's: ") + path);
+  };
+  check(fresh.name == current.name, "name");
+  check(fresh.listen_address == current.listen_address, "listen");
+  check(HaveSameClasses(current, fresh), "settings.request-classes");
+  check(fresh.deployment.plan_names == current.deployment.plan_names, "settings.tiers-of-service");
+}
+
 }  // namespace gateway::config
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -1,48 +1,43 @@
-// Reads a gateway's config.json into settings; holds no decision.
+// A gateway's configuration file.
 #ifndef GATEWAY_CONFIG_GATEWAY_CONFIG_H_
 #define GATEWAY_CONFIG_GATEWAY_CONFIG_H_
 
 #include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <string>
-#include <string_view>
 
 #include "config/config_error.h"
 #include "config/settings_parser.h"
-#include "policy/admission_policy.h"
+#include "policy/settings.h"
 
 namespace gateway::config {
 
-using boost::asio::ip::tcp;
-
 struct GatewayConfig {
   std::string name;
-  tcp::endpoint listen;
-  tcp::endpoint discovery;
-  tcp::endpoint counter;
-  bool has_counter = false;
-  uint64_t seed = 0;
-  int sockets = 1024;
-  int memory_mb = 192;
-  nlohmann::json known;  // null where the gateway has no list yet
+  boost::asio::ip::tcp::endpoint listen_address;
+  boost::asio::ip::tcp::endpoint discovery_address;
+  std::optional<boost::asio::ip::tcp::endpoint> counter_address;  // present if the policy uses the counter
+  uint64_t seed = 0;                                              // of the policy's random draws
+  int max_sockets = 1024;
+  int max_memory_mb = 192;
+  // As last known, in discovery's JSON form and not parsed; null where there is none.
+  nlohmann::json cached_endpoint_list;
   policy::Settings settings;
-  DeploymentSettings site;
+  DeploymentSettings deployment;
 };
 
-// "10.0.0.4:5000"; throws ConfigError naming `key` on anything else.
-tcp::endpoint ParseAddress(const std::string& key, const std::string& text);
-
-// The path=value lines that ParseSettings reads, from the nested form of the same settings.
-std::string Flatten(const nlohmann::json& settings);
+// Throws ConfigError on the first key that is missing or unreadable.
+GatewayConfig ParseGatewayConfig(const std::string& text);
 
-// Spaces and commas in names become '_', as they do in the flat form.
-std::string PlainName(std::string_view name);
+// The same from a file. Throws ConfigError also where the file cannot be read.
+GatewayConfig LoadGatewayConfig(const std::string& file_name);
 
-// Throws ConfigError, in plain words, on what is missing or unreadable.
-GatewayConfig ParseGatewayConfig(const std::string& text);
-// Throws ConfigError where `fresh` is another gateway's or another customer's configuration.
-void CheckSameGateway(const GatewayConfig& now, const GatewayConfig& fresh);
-GatewayConfig LoadGatewayConfig(const std::string& path);
+// Whether a running gateway can go on with `fresh`. Throws ConfigError where its name, address, request
+// classes or plans differ from those of `current`: then it is another gateway's configuration, put there by
+// mistake.
+void CheckSameGateway(const GatewayConfig& current, const GatewayConfig& fresh);
 
 }  // namespace gateway::config
 
--- a/src/net/connection_limits.cpp
+++ b/src/net/connection_limits.cpp
@@ -19,13 +19,13 @@
 }  // namespace
 
 size_t MaxClientConnections(const config::GatewayConfig& config) {
-  double by_descriptors = (config.sockets - kReservedDescriptors) * kClientShare;
-  double by_memory = (config.memory_mb - kProcessMb) / kMaxExchangeMb;
+  double by_descriptors = (config.max_sockets - kReservedDescriptors) * kClientShare;
+  double by_memory = (config.max_memory_mb - kProcessMb) / kMaxExchangeMb;
   return static_cast<size_t>(std::max(1.0, std::min(by_descriptors, by_memory)));
 }
 
 size_t MaxBackendConnections(const config::GatewayConfig& config) {
-  return static_cast<size_t>((config.sockets - kReservedDescriptors) * (1 - kClientShare));
+  return static_cast<size_t>((config.max_sockets - kReservedDescriptors) * (1 - kClientShare));
 }
 
 }  // namespace gateway::net
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -4,8 +4,9 @@
 #include <cmath>
 #include <utility>
 
+#include "config/address_parser.h"
 #include "config/config_error.h"
-#include "config/gateway_config.h"
+#include "config/json_flattener.h"
 
 namespace gateway::net {
 namespace {
@@ -19,7 +20,7 @@
 
 // The index of the name; of one that the settings do not have, their number.
 int IndexOfName(const std::vector<std::string>& names, const std::string& name) {
-  auto it = std::find(names.begin(), names.end(), config::PlainName(name));
+  auto it = std::find(names.begin(), names.end(), config::NormalizeName(name));
   return static_cast<int>(it - names.begin());
 }
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -30,9 +30,9 @@
 constexpr double kCounterTimeoutMultiple = 3;
 
 EndpointList ParseCachedList(const config::GatewayConfig& config, EndpointIds* ids) {
-  if (config.known.is_null()) return {};
+  if (config.cached_endpoint_list.is_null()) return {};
   try {
-    return ParseEndpointList(config.known, config.site, ids);
+    return ParseEndpointList(config.cached_endpoint_list, config.deployment, ids);
   } catch (const DiscoveryError& error) {
     throw config::ConfigError("known", std::string("setting is unreadable: known: ") + error.what());
   }
@@ -70,8 +70,8 @@
     : io_(io),
       config_(config),
       clock_offset_s_(ClockOffset()),
-      pool_(io, config.site.connection_idle_s, config.site.connect_timeout_s, config.site.drain_grace_s,
-            MaxBackendConnections(config)),
+      pool_(io, config.deployment.connection_idle_s, config.deployment.connect_timeout_s,
+            config.deployment.drain_grace_s, MaxBackendConnections(config)),
       membership_(pool_),
       server_(
           io, MaxClientConnections(config),
@@ -80,7 +80,7 @@
           },
           [this](uint64_t connection, bool unanswered) { OnConnectionClosed(connection, unanswered); }),
       discovery_(
-          io, config.discovery, config.site, &endpoint_ids_,
+          io, config.discovery_address, config.deployment, &endpoint_ids_,
           [this](const EndpointList& list) {
             OnEndpointList(list, list.full ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta);
             ready_ = true;
@@ -88,9 +88,9 @@
           [this] { OnDiscoveryFailed(); }),
       timers_(io, this),
       shutdown_(io, server_, requests_, LongestDeadline(config)) {
-  if (config.has_counter) {
-    counter_.emplace(io, config.counter, kCounterTimeoutMultiple * config.settings.counter_timeout_s,
-                     config.site.connect_timeout_s, [this](const policy::CounterReply& reply) {
+  if (config.counter_address) {
+    counter_.emplace(io, *config.counter_address, kCounterTimeoutMultiple * config.settings.counter_timeout_s,
+                     config.deployment.connect_timeout_s, [this](const policy::CounterReply& reply) {
                        NotifyPolicy([&](AdmissionPolicy& policy, double now_s, Actions* actions) {
                          policy.OnCounterReply(now_s, reply, actions);
                        });
@@ -101,7 +101,7 @@
   policy_.emplace(config.settings, config.seed, PolicyNow(), &actions_);
   cached.notified_at = Clock::now();
   OnEndpointList(cached, EndpointUpdateKind::kCached);
-  server_.Listen(config.listen);
+  server_.Listen(config.listen_address);
   discovery_.Start();
 }
 
@@ -111,8 +111,8 @@
   config::CheckSameGateway(config_, fresh);
   EndpointIds unused;
   ParseCachedList(fresh, &unused);  // for its checks
-  discovery_.SwitchTo(fresh.discovery);
-  if (counter_ && fresh.has_counter) counter_->SwitchTo(fresh.counter);
+  discovery_.SwitchTo(fresh.discovery_address);
+  if (counter_ && fresh.counter_address) counter_->SwitchTo(*fresh.counter_address);
 }
 
 void Gateway::Shutdown() { shutdown_.Start(); }
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -9,6 +9,7 @@
 #include <type_traits>
 #include <vector>
 
+#include "config/json_flattener.h"
 #include "net/http_field_names.h"
 
 namespace gateway::net {
@@ -59,7 +60,7 @@
 
 // -1 where the list has no such name.
 int IndexOfName(const std::vector<std::string>& names, std::string_view name) {
-  auto it = std::find(names.begin(), names.end(), config::PlainName(name));
+  auto it = std::find(names.begin(), names.end(), config::NormalizeName(name));
   return it == names.end() ? -1 : static_cast<int>(it - names.begin());
 }
 
@@ -126,7 +127,7 @@
 RequestParseResult ParseClientRequest(const ClientRequest& message, const config::GatewayConfig& config) {
   ParsedRequest parsed;
   policy::Request& request = parsed.request;
-  if (!ParseClassAndPlan(message, config.site, &request)) return http::status::bad_request;
+  if (!ParseClassAndPlan(message, config.deployment, &request)) return http::status::bad_request;
   if (HasRepeatedField(message)) return http::status::bad_request;
 
   parsed.client_request_id = View(message[kRequestIdField]);
