--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,46 +1,87 @@
-// api-gateway: one real gateway. Starts it, waits for signals, gives the exit status.
+// api-gateway: runs one gateway by the configuration file that the environment variable LB_CONFIG names.
+//
+// SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the configuration file again. Log lines go to
+// standard error: an event's name, then key=value. The exit status is 0 after a shutdown, and 1 with one line
+// of error where the gateway cannot start or go on.
 #include <csignal>
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
-#include <functional>
+#include <string>
 
+#include "config/config_error.h"
+#include "config/gateway_config.h"
 #include "net/gateway.h"
 
+namespace gateway {
+namespace {
+
+using boost::system::error_code;
+
+constexpr char kConfigVariable[] = "LB_CONFIG";
+
+std::string ConfigFileName() {
+  const char* file_name = std::getenv(kConfigVariable);
+  if (file_name == nullptr) {
+    throw config::ConfigError(kConfigVariable,
+                              std::string(kConfigVariable) + " does not name the configuration");
+  }
+  return file_name;
+}
+
+void LogListening(const config::GatewayConfig& config, const boost::asio::ip::tcp::endpoint& local) {
+  std::fprintf(stderr, "gateway_listening name=%s address=%s:%d\n", config.name.c_str(),
+               local.address().to_string().c_str(), local.port());
+}
+
+// A configuration that cannot be used changes nothing.
+void Reload(const std::string& file_name, net::Gateway* gateway) {
+  try {
+    gateway->Reload(config::LoadGatewayConfig(file_name));
+    std::fprintf(stderr, "configuration_reloaded\n");
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "configuration_rejected error=\"%s\"\n", error.what());
+  }
+}
+
+void AwaitShutdown(boost::asio::signal_set* signals, net::Gateway* gateway) {
+  signals->async_wait([=](error_code cancelled, int /*signal*/) {
+    if (cancelled) return;
+    std::fprintf(stderr, "shutdown_started\n");
+    gateway->Shutdown();
+  });
+}
+
+void AwaitReloads(boost::asio::signal_set* signals, const std::string& file_name, net::Gateway* gateway) {
+  signals->async_wait([=](error_code cancelled, int /*signal*/) {
+    if (cancelled) return;
+    Reload(file_name, gateway);
+    AwaitReloads(signals, file_name, gateway);
+  });
+}
+
+void Run() {
+  std::string file_name = ConfigFileName();
+  // Before all else, so that a signal during the start is handled after it, not by the default action.
+  boost::asio::io_context io(1);
+  boost::asio::signal_set shutdown_signals(io, SIGTERM, SIGINT);
+  boost::asio::signal_set reload_signals(io, SIGHUP);
+
+  config::GatewayConfig config = config::LoadGatewayConfig(file_name);
+  net::Gateway gateway(io, config);
+  AwaitShutdown(&shutdown_signals, &gateway);
+  AwaitReloads(&reload_signals, file_name, &gateway);
+  LogListening(config, gateway.local());
+  io.run();
+}
+
+}  // namespace
+}  // namespace gateway
+
 int main() {
-  std::signal(SIGPIPE, SIG_IGN);
+  std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection is an error of that write
   try {
-    const char* path = std::getenv("LB_CONFIG");
-    if (path == nullptr)
-      throw gateway::config::ConfigError("LB_CONFIG", "LB_CONFIG does not name the configuration");
-    // Signals first, so that one that comes during the start waits for its end.
-    boost::asio::io_context io(1);
-    boost::asio::signal_set signals(io, SIGTERM, SIGINT), reload(io, SIGHUP);
-    gateway::config::GatewayConfig config = gateway::config::LoadGatewayConfig(path);
-    gateway::net::Gateway server(io, config);
-    signals.async_wait([&](boost::system::error_code error, int) {
-      if (error) return;
-      std::fprintf(stderr, "closing\n");
-      server.Shutdown();
-    });
-    // The file may name other addresses of discovery and counter. One that can't be read changes nothing.
-    std::function<void()> await_reload = [&] {
-      reload.async_wait([&](boost::system::error_code error, int) {
-        if (error) return;
-        try {
-          server.Reload(gateway::config::LoadGatewayConfig(path));
-          std::fprintf(stderr, "configuration read again\n");
-        } catch (const std::exception& bad) {
-          std::fprintf(stderr, "configuration kept as it was: %s\n", bad.what());
-        }
-        await_reload();
-      });
-    };
-    await_reload();
-    auto local = server.local();
-    std::fprintf(stderr, "%s listens on %s:%d\n", config.name.c_str(), local.address().to_string().c_str(),
-                 local.port());
-    io.run();
+    gateway::Run();
   } catch (const std::exception& error) {
     std::fprintf(stderr, "api-gateway: %s\n", error.what());
     return 1;
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -565,7 +565,7 @@
   site.gateway->Signal(SIGHUP);
   site.gateway->Signal(SIGTERM);
   EXPECT_EQ(site.gateway->Exit(), 0);
-  EXPECT_NE(site.gateway->rest.find("kept as it was"), std::string::npos);
+  EXPECT_NE(site.gateway->rest.find("configuration_rejected"), std::string::npos);
 }
 
 // More connections than there are descriptors: the longest idle make room, and what waits is taken later.
--- a/tests/net/race_test.cpp
+++ b/tests/net/race_test.cpp
@@ -959,7 +959,7 @@
     site.gateway->Signal(SIGTERM);
     EXPECT_EQ(site.gateway->Exit(), 0);
     EXPECT_EQ(foreign.asked.count(), 0) << word;
-    EXPECT_NE(site.gateway->rest.find("kept as it was"), std::string::npos) << word;
+    EXPECT_NE(site.gateway->rest.find("configuration_rejected"), std::string::npos) << word;
     EXPECT_NE(site.gateway->rest.find(word), std::string::npos) << site.gateway->rest;
   }
 }
--- a/tests/support/gateway_fixture.h
+++ b/tests/support/gateway_fixture.h
@@ -396,7 +396,7 @@
     char c;
     while (read(err_, &c, 1) == 1 && c != '\n') line += c;
     size_t colon = line.rfind(':');
-    if (line.find(" listens on ") != std::string::npos) port = std::atoi(line.c_str() + colon + 1);
+    if (line.rfind("gateway_listening ", 0) == 0) port = std::atoi(line.c_str() + colon + 1);
     draining_ = std::thread([this] {  // its log must not fill the pipe
       char part[4096];
       ssize_t n;
