--- a/tests/config/settings_parser_test.cpp
+++ b/tests/config/settings_parser_test.cpp
@@ -35,7 +35,7 @@
   return "";
 }
 
-TEST(SettingsParser, ReadsAndIgnoresUnknownKeys) {
+TEST(SettingsParser, IgnoresUnknownKeys) {
   policy::Settings settings = ParseSettings(GoodSettings() + "new-thing.7=abc,def\n");
   EXPECT_EQ(settings.gateway_count, 3);
   EXPECT_EQ(settings.classes.at(0).idempotency, policy::Idempotency::kIdempotencyKey);
@@ -44,7 +44,9 @@
   EXPECT_EQ(settings.plans.at(0).max_concurrent_attempts, 2);
 }
 
-TEST(SettingsParser, NamesWhatIsMissingOrUnreadable) {
+// The settings are cut off or spoilt on the way. Each key that is missing or unreadable has to be named, so
+// that an operator finds it; none may be replaced by a default.
+TEST(SettingsParser, NamesEachMissingOrUnreadableKey) {
   std::string good = GoodSettings();
   size_t at = 0;
   while (at < good.size()) {
@@ -58,9 +60,10 @@
   }
 }
 
-// A figure that no gateway can go by is unreadable: below nought, past what a clock holds, or none where
-// there has to be one.
-TEST(SettingsParser, NamesFiguresThatCannotBe) {
+// A settings text holds a number that no gateway can work with: negative, not finite, too large for a clock
+// in nanoseconds, or 0 where there has to be some. Taken, it would show only later, as a timer that never
+// ends or a division by zero.
+TEST(SettingsParser, RejectsNumbersOutOfRange) {
   std::string good = GoodSettings();
   for (std::string key :
        {"resolution-s", "limits.connect-timeout-s", "invariants.warm-after-s", "peers-total",
--- /dev/null
+++ b/tests/net/gateway_configuration_test.cpp
@@ -0,0 +1,62 @@
+// A running gateway's configuration: faults at the start, and reloading on SIGHUP.
+#include <csignal>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/gateway_fixture.h"
+
+namespace gateway::net {
+namespace {
+
+using namespace test_support;
+
+// The configuration file names other addresses of discovery and counter, and SIGHUP comes. The last endpoint
+// list serves until the new agent has given its own. Before that a reload meets a file that cannot be read,
+// which has to change nothing.
+TEST(GatewayConfiguration, SwitchesDiscoveryAndCounterOnSighup) {
+  Backend one(Says(Ok("one"))), two(Says(Ok("two")));
+  Counter counter([](const std::string&, double) { return Bulk("0"); });
+  Discovery discovery;
+  discovery.Silence(true);
+  discovery.Set(json::array({Entry("s2", two.port())}));
+  Site site(json::array({Entry("s1", one.port())}));
+  auto client = site.gateway->Connect();
+  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one");
+  site.gateway->Reload("{");
+  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one");
+  json config = Config(discovery.port(), counter.port());
+  for (int i = 0; i < 3; ++i) site.gateway->Reload(config.dump());
+  EXPECT_TRUE(discovery.asked.Wait()) << "at once";
+  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one") << "the list as last known";
+  discovery.Silence(false);
+  EXPECT_TRUE(discovery.Told());
+  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "two") << "the new agent's whole list";
+  for (int i = 0; i < 100 && counter.calls.count() == 0; ++i) Ask(*client, Request("quote", 2));
+  EXPECT_GT(counter.calls.count(), 0);
+  site.gateway->Signal(SIGHUP);
+  site.gateway->Signal(SIGTERM);
+  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_NE(site.gateway->rest.find("configuration_rejected"), std::string::npos);
+}
+
+// A setting is missing or unreadable. The gateway does not start, and its only log line names the setting.
+TEST(GatewayConfiguration, NamesAFaultySettingInOneLine) {
+  json missing = Config(1, 1), bad = Config(1, 1), list = Config(1, 1);
+  missing["settings"]["invariants"].erase("cold-from");
+  bad["listen"] = "nowhere";
+  list["known"] = {{"index", "x"}};
+  std::vector<std::pair<std::string, std::string>> cases = {{missing.dump(), "invariants.cold-from"},
+                                                            {bad.dump(), "listen=nowhere"},
+                                                            {list.dump(), "known"},
+                                                            {"{", "JSON"}};
+  for (const auto& [text, word] : cases) {
+    Process gateway(text, API_GATEWAY, 0);
+    EXPECT_NE(gateway.Exit(), 0);
+    EXPECT_NE(gateway.line.find(word), std::string::npos) << gateway.line;
+    EXPECT_EQ(gateway.rest, "") << "one line";
+  }
+}
+
+}  // namespace
+}  // namespace gateway::net
--- /dev/null
+++ b/tests/net/gateway_discovery_test.cpp
@@ -0,0 +1,82 @@
+// A running gateway and discovery.
+#include <atomic>
+#include <chrono>
+#include <cstdlib>
+#include <string>
+#include <thread>
+
+#include "support/gateway_fixture.h"
+
+namespace gateway::net {
+namespace {
+
+using namespace test_support;
+
+// Backends come, go, change their address and drain, in full lists and in changes, and once discovery answers
+// with garbage, which has to change nothing.
+TEST(GatewayDiscovery, AppliesEndpointListsAndChanges) {
+  Backend one(Says(Ok("one"))), two(Says(Ok("two")));
+  Site site(json::array({Entry("a", one.port())}));
+  auto client = site.gateway->Connect();
+  auto told = [&] {
+    EXPECT_TRUE(site.discovery.Told());
+    return Ask(*client, Request("quote")).body;
+  };
+  EXPECT_EQ(told(), "one");
+  site.discovery.Set(json::array({Entry("b", two.port())}));
+  EXPECT_EQ(told(), "two") << "what a whole list does not name is gone";
+  site.discovery.Set(json::array({Entry("b", one.port())}));
+  EXPECT_EQ(told(), "one") << "an address may change";
+  site.discovery.Set(json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}), false,
+                     json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}));
+  EXPECT_EQ(told(), "two") << "nothing new to one that leaves";
+  site.discovery.Set(json::array({Entry("a", two.port())}), true, {}, "no list");
+  EXPECT_EQ(told(), "two") << "garbage changes nothing, and is asked for again";
+}
+
+// The connection to the agent hangs: a watch is open and never answered. What the agent has counts as
+// notified all the same, so the watch has to be given up and renewed well before that costs a drain's grace.
+TEST(GatewayDiscovery, RenewsAWatchThatGoesSilent) {
+  Backend one(Says(Ok("one"))), two(Says(Ok("two")));
+  std::atomic<int> asked{0}, wait_ms{0};
+  Event renewed;
+  Counter counter([](const std::string&, double) { return Bulk("0"); });
+  Server agent([&](Wire& wire) {
+    for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
+      size_t wait = ask.head.find("wait_ms=");
+      int turn = ++asked;
+      if (turn == 2 && wait != std::string::npos) wait_ms = std::atoi(ask.head.c_str() + wait + 8);
+      if (turn == 2) return void(wire.Ended());  // the first watch is never answered
+      if (turn > 3) renewed.Add();
+      json entries = json::array({turn == 1 ? Entry("a", one.port()) : Entry("b", two.port())});
+      wire.Write(Ok(json{{"index", turn}, {"snapshot", true}, {"endpoints", entries}}.dump()));
+      if (turn > 3) return void(wire.Ended());
+    }
+  });
+  Process gateway(Config(agent.port(), counter.port()));
+  EXPECT_TRUE(renewed.Wait());
+  EXPECT_EQ(Ask(*gateway.Connect(), Request("quote")).body, "two");
+  EXPECT_GT(wait_ms, 0);
+  EXPECT_LE(wait_ms, 2000);
+  agent.Stop();
+}
+
+// The gateway starts while discovery is down. It serves by the cached list of its configuration, and reports
+// itself ready once its first poll has failed.
+TEST(GatewayDiscovery, ServesByTheCachedListWhileDiscoveryIsSilent) {
+  Backend backend(Says(Ok("x")));
+  Discovery discovery;
+  discovery.Silence(true);
+  Counter counter([](const std::string&, double) { return Bulk("0"); });
+  Process gateway(Config(discovery.port(), counter.port(), json::array({Entry("s1", backend.port())})));
+  auto client = gateway.Connect();
+  EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
+  for (int i = 0; i < 3000; ++i) {  // ready without discovery, once its first call has failed
+    if (Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
+    std::this_thread::sleep_for(std::chrono::milliseconds(10));
+  }
+  EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+}
+
+}  // namespace
+}  // namespace gateway::net
