--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -58,12 +58,6 @@
   return response;
 }
 
-// Whether the backend may have run the request of an attempt that ended so.
-bool MayHaveRun(CallResult result) {
-  return result != CallResult::kRejected && result != CallResult::kConnectFailed &&
-         result != CallResult::kNeverSent;
-}
-
 }  // namespace
 
 Gateway::Gateway(asio::io_context& io, const config::GatewayConfig& config)
@@ -309,7 +303,7 @@
       server_.HasClientLeft(request->connection_id)) {
     server_.Close(request->connection_id);
   }
-  if (MayHaveRun(end.result)) request->may_have_run = true;
+  if (policy::MayHaveRun(end.result)) request->may_have_run = true;
   // The first successful response answers the request before the policy hears of it: the client is waiting.
   if (end.result == CallResult::kOk && !request->answered) {
     Response response = StatusResponse(http::status::ok);
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -48,10 +48,10 @@
   kNeverSent,      // given up by this gateway before it was sent
 };
 
-// Whether an attempt that ended so may have had its effect, without an answer that tells.
+// Whether a backend may have run the request of an attempt that ended so.
 inline bool MayHaveRun(CallResult result) {
-  return result == CallResult::kError || result == CallResult::kTimeout || result == CallResult::kReset ||
-         result == CallResult::kCancelled;
+  return result != CallResult::kRejected && result != CallResult::kConnectFailed &&
+         result != CallResult::kNeverSent;
 }
 
 struct AttemptOutcome {
