--- a/tests/policy/demand_share_test.cpp
+++ b/tests/policy/demand_share_test.cpp
@@ -10,20 +10,20 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-// A soft plan: a request beyond the quota earns more than it is charged.
-Settings MakeSoftPlanSettings() {
-  Settings settings = MakeSettings();
-  settings.counter_enabled = false;
-  settings.plans[0].over_quota_penalty = 0;
-  settings.plans[0].excess_value_share = 0.3;
-  return settings;
-}
+// Value of a request beyond the quota, as shares of its full value: what it earns, and what is charged for
+// it.
+struct ExcessTerms {
+  double value_share = 0;
+  double penalty = 0;
+};
+constexpr ExcessTerms kSoftPlan{.value_share = 0.3, .penalty = 0};  // earns more than it is charged
+constexpr ExcessTerms kHardPlan{.value_share = 0, .penalty = 1};
 
-Settings MakeHardPlanSettings() {
+Settings MakePlanSettings(const ExcessTerms& excess) {
   Settings settings = MakeSettings();
   settings.counter_enabled = false;
-  settings.plans[0].over_quota_penalty = 1;
-  settings.plans[0].excess_value_share = 0;
+  settings.plans[0].excess_value_share = excess.value_share;
+  settings.plans[0].over_quota_penalty = excess.penalty;
   return settings;
 }
 
@@ -46,14 +46,14 @@
 }
 
 TEST(DemandShare, OnlySoftPlansBorrowBeyondTheirQuota) {
-  EXPECT_LE(CountForwardedBesideNewTenants(MakeHardPlanSettings()), 14);
-  EXPECT_GT(CountForwardedBesideNewTenants(MakeSoftPlanSettings()), 40);
+  EXPECT_LE(CountForwardedBesideNewTenants(MakePlanSettings(kHardPlan)), 14);
+  EXPECT_GT(CountForwardedBesideNewTenants(MakePlanSettings(kSoftPlan)), 40);
 }
 
 // Backends reject attempts because they are overloaded. If a tenant could still borrow quota, its excess
 // would take capacity from requests within their quota. For a while after a rejected attempt nothing is lent.
 TEST(DemandShare, NothingIsLentWhileBackendsReject) {
-  PolicyFixture gateway(MakeSoftPlanSettings());
+  PolicyFixture gateway(MakePlanSettings(kSoftPlan));
   uint64_t next_tenant = 100;
   int forwarded = 0;
   for (int i = 0; i < 100; ++i) {
