--- a/lab/capacity_experiment.cpp
+++ b/lab/capacity_experiment.cpp
@@ -13,7 +13,7 @@
 #include "lab/gateway_process_experiment.h"
 #include "lab/line_fit.h"
 #include "lab/processor_clock.h"
-#include "lab/random.h"
+#include "policy/random_source.h"
 
 namespace gateway::lab {
 namespace {
@@ -55,7 +55,7 @@
   std::vector<policy::Endpoint> endpoints(static_cast<size_t>(count));
   for (int i = 0; i < count; ++i) {
     policy::Endpoint& endpoint = endpoints[static_cast<size_t>(i)];
-    endpoint.id = static_cast<uint32_t>(SplitMix64(static_cast<uint64_t>(i)));
+    endpoint.id = static_cast<uint32_t>(policy::MixBits(static_cast<uint64_t>(i)));
     endpoint.zone = i % kZones;
     endpoint.weight = 1;
   }
--- a/lab/counter_model.cpp
+++ b/lab/counter_model.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "lab/random.h"
+#include "policy/random_source.h"
 
 namespace gateway::lab {
 namespace {
@@ -17,7 +17,7 @@
 
 CounterModel::Reply CounterModel::Call(double now_s, uint64_t key, double amount, double expiry_s) {
   if (silent_) return {};
-  double& shard_free_s = shard_free_s_[SplitMix64(key) % shard_free_s_.size()];
+  double& shard_free_s = shard_free_s_[policy::MixBits(key) % shard_free_s_.size()];
   double start_s = std::max(now_s, shard_free_s);
   if (start_s - now_s > options_.max_queueing_s) return {ReplyStatus::kRejected, now_s, 0};
   shard_free_s = start_s + static_cast<double>(options_.shards) / options_.calls_per_s;
--- a/lab/fleet_simulation.cpp
+++ b/lab/fleet_simulation.cpp
@@ -58,7 +58,7 @@
     SimulatedGateway& gateway = GatewayAt(i);
     settings.zone = i % options_.zones;
     policy::Actions none;  // where endpoint updates are pushed, a policy starts without actions
-    uint64_t seed = SplitMix64(options_.seed * kSeedFactor + static_cast<uint64_t>(i));
+    uint64_t seed = policy::MixBits(options_.seed * kSeedFactor + static_cast<uint64_t>(i));
     gateway.policy = std::make_unique<policy::AdmissionPolicy>(settings, seed, kClockStartS, &none);
     Deliver(gateway, [&](auto& policy, double now_s, auto* actions) {
       policy.OnEndpointUpdate(now_s, policy::EndpointUpdateKind::kFull, endpoints, actions);
--- a/lab/tenant_model.cpp
+++ b/lab/tenant_model.cpp
@@ -96,7 +96,7 @@
   const Tenant& drawn = at(tenant);
   // The tenant's gateways are ranked by their traffic. Each period starts the ranking at another of them.
   auto period = static_cast<uint64_t>(now_s / options_.ingress_rotation_s);
-  uint64_t hash = SplitMix64(static_cast<uint64_t>(tenant) * kTenantHashFactor + period);
+  uint64_t hash = policy::MixBits(static_cast<uint64_t>(tenant) * kTenantHashFactor + period);
   int offset = static_cast<int>(hash % static_cast<uint64_t>(drawn.ingress_gateways));
   int rank =
       static_cast<int>(drawn.ingress_gateways * std::pow(random->Uniform(), 1 + options_.ingress_skew));
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -6,7 +6,8 @@
 
 namespace gateway::policy {
 
-// Spreads the bits of `value` over the whole word (the finalizer of SplitMix64).
+// Spreads the bits of `value` over the whole word (the output function of SplitMix64; Steele, Lea, Flood
+// 2014).
 inline uint64_t MixBits(uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
