--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -21,7 +21,7 @@
   int attempt = 0;
 };
 
-// Final answer: the request had no effect, and may be sent again.
+// Final answer: the request had no effect, or repeating it has none, so that it may be sent again.
 struct RejectRequest {
   uint32_t request_id = 0;
   double retry_after_s = 0;  // 0: no Retry-After
@@ -49,7 +49,8 @@
   std::string text;  // event name, then key=value
 };
 
-// Asks discovery for the endpoint list.
+// Asks discovery for the endpoint list, on the simulator's wire. On sockets the first one starts the
+// discovery client, which then polls by itself; later ones change nothing.
 struct PollDiscovery {};
 
 using Action = std::variant<ForwardAttempt, CancelAttempt, RejectRequest, FailRequest, StartTimer,
--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -25,7 +25,7 @@
 
 // Timer tags are request ids, of 32 bits, but for this one.
 constexpr uint64_t kPollDiscoveryTag = 1ULL << 40;
-// The most that discovery is waited for after it failed.
+// Longest delay after a failed poll of discovery, where the endpoint list is polled.
 constexpr double kMaxPollDelayS = 1;
 // A waiting request is charged, and so reported, in advance where it is at least so likely to be admitted.
 constexpr double kReserveProbability = 0.5;
@@ -69,6 +69,7 @@
     if (in_flight_.count(request.id) != 0) return;
     if (!IsValidRequest(request, settings_)) return Reject(request.id, actions);
     Tenant& tenant = tenants_.RecordRequest(request, now_s);
+    // A tenant has one plan: its quotas were set up by the plan of its first request.
     if (tenant.plan_index != request.plan) return Reject(request.id, actions);
     QuotaAssessment assessment = quota_check_.Assess(&tenant, request, now_s);
     load_shedder_.RecordArrival(request);
@@ -100,8 +101,8 @@
       End(&request, actions);
     } else if (request.finished) {
       if (request.attempts_in_flight == 0) in_flight_.erase(it);
-    } else if (request.attempts_in_flight == 0 && !Retry(&request, now_s, actions)) {
-      GiveUp(&request, actions);
+    } else if (request.attempts_in_flight == 0 && !StartAnotherAttempt(&request, now_s, actions)) {
+      FinishWithoutResponse(&request, actions);
     }
   }
 
@@ -120,9 +121,9 @@
     InFlightRequest& request = it->second;
     if (retry_policy_.IsOutOfTime(request, now_s)) {
       load_shedder_.RecordDeadlineExceeded(now_s);
-      return GiveUp(&request, actions);
+      return FinishWithoutResponse(&request, actions);
     }
-    if (!request.IsWaitingForCounter()) CheckSilentAttempt(&request, now_s, actions);
+    if (!request.IsWaitingForCounter()) HedgeOrCancelSilentAttempt(&request, now_s, actions);
     StartCheckTimer(request, LastBackend(request), now_s, actions);
   }
 
@@ -140,6 +141,7 @@
 
  private:
   void Reject(uint32_t request_id, Actions* actions) { actions->push_back(RejectRequest{request_id, 0}); }
+  // 429 on sockets; where the settings allow no Retry-After it cannot be told from other rejections.
   void RejectOverQuota(uint32_t request_id, Actions* actions) {
     double retry_after_s = settings_.retry_after_enabled ? settings_.max_retry_after_s : 0;
     actions->push_back(RejectRequest{request_id, retry_after_s});
@@ -185,8 +187,10 @@
     if (!tenant->HasCallPending()) DecideWaiting(tenant, false, now_s, actions);
   }
 
-  // Decides the requests that wait for the counter by what is known now. `replied`: it has answered.
-  void DecideWaiting(Tenant* tenant, bool replied, double now_s, Actions* actions) {
+  // Decides the requests that wait for the counter by what is known now. They were not shed when they
+  // arrived, and are not shed now; nothing is borrowed any more. `counter_replied`: its reply has come, and
+  // was no error.
+  void DecideWaiting(Tenant* tenant, bool counter_replied, double now_s, Actions* actions) {
     std::vector<WaitingRequest> waiting;
     waiting.swap(tenant->waiting);
     for (const WaitingRequest& entry : waiting) {
@@ -196,7 +200,7 @@
       InFlightRequest& request = it->second;
       QuotaDecision decision = quota_check_.Assess(tenant, request.request, now_s).decision;
       bool within_quota = decision == QuotaDecision::kWithinQuota;
-      if (replied) tenants_.RecordWaitingResult(tenant, within_quota);
+      if (counter_replied) tenants_.RecordWaitingResult(tenant, within_quota);
       Backend* backend = within_quota ? selector_.Select(request, now_s) : nullptr;
       if (backend != nullptr) {
         Charge(tenant, &request, true);
@@ -206,7 +210,7 @@
       if (decision == QuotaDecision::kOverQuota) {
         RejectOverQuota(entry.request_id, actions);
       } else {
-        Reject(entry.request_id, actions);
+        Reject(entry.request_id, actions);  // no backend may be used, or only borrowing is left
       }
       in_flight_.erase(it);
     }
@@ -265,21 +269,22 @@
     return request.attempts.empty() ? nullptr : endpoints_.Find(request.attempts.back().backend_id);
   }
 
-  void CheckSilentAttempt(InFlightRequest* request, double now_s, Actions* actions) {
+  void HedgeOrCancelSilentAttempt(InFlightRequest* request, double now_s, Actions* actions) {
     Backend* backend = LastBackend(*request);
-    if (!retry_policy_.ShouldGiveUpOnSilentAttempt(*request, backend, now_s)) return;
+    if (!retry_policy_.ShouldHedge(*request, backend, now_s)) return;
     if (settings_.hedging_enabled) {
       // With other attempts in flight there, the silence is the backend's and not this request's.
       if (backend->attempts_in_flight > 1) feedback_.RecordFailure(backend, now_s, actions);
-      Retry(request, now_s, actions);
+      StartAnotherAttempt(request, now_s, actions);
     } else if (settings_.cancellation_enabled) {
       int last = static_cast<int>(request->attempts.size()) - 1;
       actions->push_back(CancelAttempt{request->request.id, last});
     }
   }
 
-  // Returns false where no further attempt is allowed or no backend may take it.
-  bool Retry(InFlightRequest* request, double now_s, Actions* actions) {
+  // A retry, or a hedged request where an attempt is in flight. Returns false where no further attempt is
+  // allowed or no backend may take it.
+  bool StartAnotherAttempt(InFlightRequest* request, double now_s, Actions* actions) {
     if (!retry_policy_.MayRetry(*request, now_s)) return false;
     Backend* backend = selector_.Select(*request, now_s);
     if (backend == nullptr) return false;
@@ -321,7 +326,7 @@
   }
 
   // The final answer where no attempt has brought one.
-  void GiveUp(InFlightRequest* request, Actions* actions) {
+  void FinishWithoutResponse(InFlightRequest* request, Actions* actions) {
     if (retry_policy_.MayReject(*request)) {
       Reject(request->request.id, actions);
     } else {
--- a/src/policy/admission_policy.h
+++ b/src/policy/admission_policy.h
@@ -27,7 +27,8 @@
                         Actions* actions);
   // A client's request arrived. It gets exactly one final answer: an attempt's, a rejection or a failure.
   void OnRequest(double now_s, const Request& request, Actions* actions);
-  // The first bytes of an answer went to the client: from now on no attempt of the request is cancelled.
+  // The first bytes of an answer went to the client: from now on no attempt of the request is cancelled. Only
+  // from callers that stream answers; the gateway on sockets forwards complete answers and never calls this.
   void OnResponseStarted(double now_s, uint32_t request_id, Actions* actions);
   // An attempt ended. Called once for each ForwardAttempt.
   void OnAttemptOutcome(double now_s, const AttemptOutcome& outcome, Actions* actions);
--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kMaxLimit = 200;
-// Below this mean latency share there is no queue worth the name.
+// Below this mean latency share there is no queue.
 constexpr double kNoQueueLatencyShare = 0.2;
 constexpr double kCutFactor = 0.7;
 constexpr double kMinCutIntervalS = 0.1;
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -12,16 +12,16 @@
 // gateways together make no more than so many calls a second.
 constexpr double kMinSilentPauseS = 0.3;
 constexpr double kSilentCallsPerS = 100;
-// A reply slower than this share of the counter's time-out is a sign of congestion. On sockets it still comes
-// and is of use; on the simulator's wire a late call fails instead.
-constexpr double kSlowReplyShare = 1.5;
+// A reply slower than so many of the settings' time-outs is a sign of congestion. The gateway on sockets
+// waits for three (net/gateway.cpp), since a late total is still of use.
+constexpr double kSlowReplyTimeouts = 1.5;
 // The congestion price grows and shrinks by these shares of itself: it is steady, at whatever level, where
 // one call in nine is slow or fails, just short of the most that the counter bears.
 constexpr double kCongestionGrowth = 0.4;
 constexpr double kCongestionDecay = 0.05;
 constexpr double kMaxCongestion = 1;
 constexpr double kCallsPerLookup = 1.5;
-// Share of requests that go unreported for each unit of a call's price, and the most.
+// Share of requests that go unreported, for each unit of a call's price, and at most.
 constexpr double kUnreportedPerPrice = 5;
 constexpr double kMaxUnreportedShare = 0.8;
 // A tenant whose total was never read is looked up by itself while fewer go unreported than this.
@@ -107,12 +107,12 @@
   if (reply.result == CallResult::kOk) tenant->concurrency.ApplyTotal(call.period, reply.total, now_s);
 }
 
-// Guards against a counter that is overloaded, or gone: each failure makes calls dearer and so rarer,
-// whatever its reason, and they come back reply by reply, without a flood when it returns.
+// Guards against a counter that is overloaded, or gone: each failure raises the price of a call, whatever its
+// reason, and so makes calls rarer. Reply by reply they come back, without a flood when the counter returns.
 void CounterSchedule::UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions) {
   bool was_silent = IsSilent();
   bool ok = result == CallResult::kOk;
-  bool quick = ok && now_s - call.sent_s < kSlowReplyShare * settings_.counter_timeout_s;
+  bool quick = ok && now_s - call.sent_s < kSlowReplyTimeouts * settings_.counter_timeout_s;
   failures_in_a_row_ = ok ? 0 : failures_in_a_row_ + 1;
   double factor = quick ? 1 - kCongestionDecay : 1 + kCongestionGrowth;
   congestion_ = std::clamp(congestion_ * factor, kMinCongestion, kMaxCongestion);
--- a/src/policy/counter_schedule.h
+++ b/src/policy/counter_schedule.h
@@ -15,9 +15,11 @@
 
 // Rule: a call is made where it is due and worth its price. The price is the settings' price of a call plus a
 // congestion price, which grows with each failed or slow call and shrinks with each quick one, so that all
-// gateways together call as often as the counter bears. After kSilentAfterFailures failures in a row the
-// counter counts as silent: quotas fall back to this gateway's part (TenantQuota), and only single calls, far
-// apart, look whether it answers again.
+// gateways together call as often as the counter bears.
+//
+// Circuit breaker: after kSilentAfterFailures failed calls in a row, of whatever tenant and kind, the counter
+// counts as silent, until one call succeeds. Meanwhile quotas fall back to this gateway's part (TenantQuota),
+// and the calls that are due go out one by one, far apart.
 //
 // Invariants: at most one call of each kind is pending for a tenant, and one for each counter key; every call
 // made gets one reply.
@@ -63,7 +65,7 @@
   // The congestion price starts from this level, which itself counts as no price.
   static constexpr double kMinCongestion = 0.01;
 
-  // In requests of full value, as every price here.
+  // In the unit of Settings::counter_call_price, as every price here.
   double CongestionPrice() const { return congestion_ - kMinCongestion; }
   double UnreportedShare() const;
   // False where a call of the same key is pending.
--- a/src/policy/demand_share.h
+++ b/src/policy/demand_share.h
@@ -1,4 +1,4 @@
-// The share of spare capacity that a tenant may borrow beyond its quota (PAPER, eq. 11).
+// The share of spare capacity that a tenant may borrow beyond its quota (PAPER, eq. 11 and 12).
 #ifndef GATEWAY_POLICY_DEMAND_SHARE_H_
 #define GATEWAY_POLICY_DEMAND_SHARE_H_
 
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -29,8 +29,8 @@
 
 // Owns the backends. Pointers stay valid until the next ApplyUpdate.
 //
-// Invariant: a backend that is removed from the list stays until its last attempt has ended, in state
-// kRemoved.
+// Invariant: a backend that is removed from the list stays, as kRemoved, until its last attempt has
+// ended.
 class EndpointSet {
  public:
   // Attempts in flight at the ready backends, and what their limits allow.
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -6,7 +6,8 @@
 namespace gateway::policy {
 namespace {
 
-// Part of the concurrency limits that a class of next to no value may use.
+// Part of the concurrency limits that the class of the least value may use. It also bounds how much harder
+// that class is hit by the admitted share.
 constexpr double kMinLimitShare = 0.3;
 // Of its part, what a request beyond the quota may use.
 constexpr double kBorrowedLimitShare = 0.5;
@@ -14,15 +15,16 @@
 constexpr double kBorrowedExponent = 2;
 
 constexpr double kMinAdmittedShare = 0.05;  // so that answers go on telling
-// An answer that is off the latency target by its own amount changes the admitted share by this share of
-// itself, or by more where answers are rare: then by all of itself in kAdjustmentS.
-constexpr double kMinAdjustment = 0.02;
+// The admitted share is multiplied by exp(-step x relative error) with each answer. The step is the time
+// since the last answer over kAdjustmentS, so that the adjustment per second does not depend on the rate of
+// answers, but at least kMinStep.
 constexpr double kAdjustmentS = 0.8;
 constexpr double kMaxAdjustmentSpanS = 1;
+constexpr double kMinStep = 0.02;
 constexpr double kMaxRelativeError = 2;
 constexpr double kRecoveryPerS = 0.05;
 
-// Latency shares that stand for outcomes without a latency.
+// Latency shares that stand for outcomes without a latency. Both give the largest error.
 constexpr double kRejectionLatencyShare = 1;
 constexpr double kDeadlineLatencyShare = 2;
 
@@ -46,7 +48,7 @@
 
 void LoadShedder::RecordLatency(double latency_share, double now_s) {
   double span_s = std::min(kMaxAdjustmentSpanS, now_s - latency_recorded_s_);
-  double step = std::max(kMinAdjustment, span_s / kAdjustmentS);
+  double step = std::max(kMinStep, span_s / kAdjustmentS);
   double error = latency_share / ConcurrencyLimiter::kQueueLatencyShare - 1;
   admitted_share_ *= std::exp(-step * std::clamp(error, -1.0, kMaxRelativeError));
   admitted_share_ = std::max(admitted_share_, kMinAdmittedShare);
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -11,13 +11,14 @@
 
 namespace gateway::policy {
 
-// Two rules shed load, both milder for requests whose priority weight is high for the work they make, and
-// harsher for what a tenant borrows beyond its quota:
-// - A share of requests, the admitted share, passes at random. It follows the latency of all backends'
-// answers
-//   towards the target that ConcurrencyLimiter has for each backend, so that gateways which seldom have an
-//   attempt in flight at any one backend shed load too. It recovers with time, whether or not answers come.
-// - The last part of the backends' concurrency limits is kept for the most valuable class.
+// Two rules shed load. Both spare classes with a high priority weight per second of work, and are stricter
+// for requests beyond their tenant's quota:
+// - A share of requests, the admitted share, passes at random. It is adjusted by the latency of all answers
+//   against the target that ConcurrencyLimiter has for each backend. So gateways that seldom have an attempt
+//   in flight at any one backend shed load too. It recovers with time, whether or not answers come.
+// - The last part of the backends' concurrency limits is kept for the classes of higher value.
+//
+// Nothing here depends on the tenant: of two requests of one class, within quota, chance decides.
 //
 // Invariant: where nothing is in flight and no outcome has come for a latency objective, a request within
 // quota passes. Otherwise nothing would ever tell that the backends have capacity again.
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,8 +5,10 @@
 namespace gateway::policy {
 namespace {
 
-// Weight of one answer in the failure rate; a failure has twice that.
-constexpr double kSampleWeight = 0.1;
+// Weight of one answer in the failure rate.
+constexpr double kSuccessWeight = 0.1;
+constexpr double kFailureWeight = 2 * kSuccessWeight;
+// Failures in a row give a rate of 0.2, 0.36 and 0.488: the third passes this.
 constexpr double kEjectionThreshold = 0.48;
 constexpr double kMinEjectionS = 0.5;
 constexpr double kMaxEjectionS = 4.0;
@@ -16,7 +18,7 @@
 }  // namespace
 
 bool OutlierDetector::RecordFailure(double now_s) {
-  failure_rate_ += kSampleWeight * 2 * (1 - failure_rate_);
+  failure_rate_ += kFailureWeight * (1 - failure_rate_);
   if (IsEjected(now_s)) return false;
   if (!on_probation_ && failure_rate_ <= kEjectionThreshold) return false;
   ejection_s_ = std::clamp(ejection_s_ * 2, kMinEjectionS, kMaxEjectionS);
@@ -26,7 +28,7 @@
 }
 
 bool OutlierDetector::RecordSuccess() {
-  failure_rate_ -= kSampleWeight * failure_rate_;
+  failure_rate_ -= kSuccessWeight * failure_rate_;
   if (failure_rate_ < kHealthyRate) ejection_s_ = 0;
   bool returned = on_probation_;
   on_probation_ = false;
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -9,8 +9,8 @@
 // with each ejection. After that it is on probation: one attempt at a time, whose failure ejects it again and
 // whose success ends the probation.
 //
-// Ejections are ignored while they would leave too few backends (MayExclude): then the fault is likely not
-// theirs.
+// All ejections are ignored while more than a quarter of the ready backends is ejected (MayExclude): then the
+// fault is likely elsewhere. So with fewer than four ready backends none is in force. Probation always is.
 class OutlierDetector {
  public:
   // Whether so many ejected backends may be left out, of all that are ready.
@@ -20,7 +20,7 @@
   bool RecordFailure(double now_s);
   // Returns true where this success ends a probation.
   bool RecordSuccess();
-  // The backend's process has restarted: its failures are those of another.
+  // The backend's process has restarted: it may be sent attempts again. A probation goes on.
   void RecordRestart() { ejected_until_s_ = failure_rate_ = 0; }
 
   bool IsEjected(double now_s) const { return ejected_until_s_ > now_s; }
--- a/src/policy/quota_check.cpp
+++ b/src/policy/quota_check.cpp
@@ -13,7 +13,8 @@
 // Share of the quota's rate, asked for through all gateways, up to which the prior holds as it is.
 constexpr double kPriorDemandShare = 0.5;
 
-// Admitting pays off where the expected value is at least the expected loss.
+// Admitting pays off where the expected value p is at least the expected loss (1 - p) x loss. Always so for a
+// loss below zero, that is, where requests beyond the quota earn more than they cost.
 bool IsWorthAdmitting(double probability_within, double loss) {
   return probability_within * (1 + loss) >= loss;
 }
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -10,9 +10,11 @@
 // expected to take: chance alone is rarer.
 constexpr double kCheckObjectiveShare = 0.5;
 constexpr double kCheckExpectedMultiple = 6;
-// A timer may fire one resolution late, and the answer takes one to go out.
+// The last check is due so many timer resolutions before the deadline: a timer may fire one resolution late,
+// and the final answer takes one to go out. A check counts as the last one resolution earlier, so that one
+// which fires early is not set anew.
 constexpr double kCheckMarginResolutions = 2;
-constexpr double kOutOfTimeResolutions = 3;
+constexpr double kOutOfTimeResolutions = kCheckMarginResolutions + 1;
 constexpr double kDeduplicationMarginResolutions = 2;
 
 }  // namespace
@@ -46,8 +48,7 @@
   return false;
 }
 
-bool RetryPolicy::ShouldGiveUpOnSilentAttempt(const InFlightRequest& request, const Backend* backend,
-                                              double now_s) const {
+bool RetryPolicy::ShouldHedge(const InFlightRequest& request, const Backend* backend, double now_s) const {
   // A backend that hangs answers nobody, where a busy one would answer others meanwhile.
   const Attempt& last = request.attempts.back();
   if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_s)) return false;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -11,14 +11,13 @@
 
 // Rules:
 // - A request gets at most Settings::max_attempts attempts.
-// - After an attempt that may have run, an idempotent request may be retried anywhere; one with an
-// idempotency
-//   key only within the scope and the time in which backends drop the repeat; any other not at all (RFC 9110,
-//   9.2.2).
-// - Retry budget: each admitted request earns a tenth of a retry, so that retries never multiply an overload.
-// - An idempotent request whose backend has been silent since the attempt was sent is hedged: it gets a
-// second
-//   attempt beside the first where the settings allow that, else the first is cancelled.
+// - After an attempt that may have run, an idempotent request may be retried anywhere. One with an
+//   idempotency key may be retried only within the scope and the time in which backends drop the repeat. Any
+//   other is not retried (RFC 9110, 9.2.2).
+// - Retry budget: it starts full, each admitted request earns a tenth of a retry, and each retry or hedged
+//   request takes one. So retries never multiply an overload. There is no backoff.
+// - An idempotent request whose backend has answered nobody since the attempt was sent is hedged: it gets a
+//   second attempt beside the first. Where the settings forbid that, the first is cancelled and then retried.
 class RetryPolicy {
  public:
   // The references must outlive this.
@@ -37,9 +36,8 @@
     return !request.may_have_run || SharesIdempotencyKeys(request, endpoint);
   }
 
-  // Whether the silence of the last attempt's backend calls for a hedged request, or for a cancellation.
-  bool ShouldGiveUpOnSilentAttempt(const InFlightRequest& request, const Backend* backend,
-                                   double now_s) const;
+  // Whether the last attempt's backend is silent, and the request may get another attempt for that reason.
+  bool ShouldHedge(const InFlightRequest& request, const Backend* backend, double now_s) const;
 
   // Delay until the request is looked at next: its backend may be silent by then, or its time nearly over.
   // `backend`: of its last attempt, or null.
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -47,11 +47,11 @@
   double max_request_units = 0;
   bool counter_enabled = false;
   double counter_timeout_s = 0;
-  double counter_call_price = 0;  // in requests of full value
+  double counter_call_price = 0;  // a call costs as much as rejecting so many requests
   bool cancellation_enabled = false;
   bool hedging_enabled = false;  // two attempts of one request may be out at once
   bool retry_after_enabled = false;
-  double max_retry_after_s = 0;
+  double max_retry_after_s = 0;            // advised to clients over their quota
   int max_attempts = 0;                    // of one request
   double connect_timeout_s = 0;            // in which a new connection to a backend comes up, or fails
   double slow_start_initial_fraction = 0;  // of full capacity, at the start of a backend
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -20,16 +20,16 @@
 
  private:
   friend class SlowStart;
-  double since_s_ = 0;    // the start that discovery told or failures to connect let assume; 0: warmed up
-  double budget_s_ = 0;   // work that may be sent
+  double since_s_ = 0;    // clock of its start, as notified or assumed; 0: warmed up
+  double budget_s_ = 0;   // work that may be sent, in seconds of expected latency
   double updated_s_ = 0;  // clock up to which the budget has been refilled
 };
 
 // Rule: a backend that warms up has a fraction of its full capacity, which rises evenly from the settings'
 // initial fraction to 1 over the settings' duration. Its budget of work, in seconds, refills at that fraction
 // of what this gateway now sends to a warmed-up backend. So all gateways together send it no more than its
-// fraction of what the others take. Where the backends are little used, the budget is this gateway's part of
-// what the backend bears at least, if it has one core.
+// fraction of what the others take. Where the backends are little used that would be next to nothing, so the
+// budget refills at least at this gateway's even part of what a backend of one core bears.
 //
 // Guards against two failures: a warming-up backend that collapses under the sum of all gateways, and a burst
 // of all gateways onto the first backend that returns.
--- a/src/policy/tenant_quota.cpp
+++ b/src/policy/tenant_quota.cpp
@@ -12,8 +12,8 @@
 constexpr double kReportMaxAgeWindows = 0.25;
 // Share of a ceiling's slack that is used; the rest covers rounding.
 constexpr double kCeilingSlackShare = 0.95;
-// While the counter is silent a gateway has at least this share of an even part of the quota, so that traffic
-// which moves here finds some.
+// While the counter is silent a gateway has at least this share of an even part, quota over ingress gateways,
+// so that traffic which moves here finds some quota.
 constexpr double kMinSilentPart = 0.5;
 // Windows over which the rates of use are averaged.
 constexpr double kRateAveragingWindows = 0.5;
@@ -69,11 +69,12 @@
 void TenantQuota::StartWindow(int64_t window, bool counter_is_silent) {
   double refilled_units =
       plan_->rate_units_per_s * WindowSeconds(*plan_) * static_cast<double>(window - window_);
-  double overspent_units = used_units_ - refilled_units;
-  // After a gap of more than one window, what others have used since is not known.
+  double overspent_units = spent_units_ - refilled_units;
+  // After a gap of more than one window, what others have used since is not known, and the counter has to be
+  // read again. While it is silent that cannot be done, so what was known stands.
   bool lost_track = window > window_ + 1 && ingress_gateways_ > 1 && !counter_is_silent;
-  used_units_ = lost_track ? 0 : std::clamp(overspent_units, 0.0, plan_->burst_units);
-  carried_units_ = used_units_;
+  spent_units_ = lost_track ? 0 : std::clamp(overspent_units, 0.0, plan_->burst_units);
+  starting_deficit_ = spent_units_;
   if (lost_track) known_ = false;
   window_ = window;
   // Units kept back over a long silence are not paid back for more than one burst.
@@ -95,7 +96,7 @@
   double own_part = (plan_->burst_units + plan_->rate_units_per_s * (now_s - created_s_)) / ingress_gateways_;
   if (!known_ && unknown_spent_units_ > 0 && unknown_spent_units_ + units > own_part) return false;
   double window_units = plan_->burst_units + plan_->rate_units_per_s * WindowSeconds(*plan_);
-  return !(used_units_ + units > window_units);
+  return !(spent_units_ + units > window_units);
 }
 
 double TenantQuota::ProbabilityOfRoom(double units, double now_s, double prior, double max_request_units,
@@ -115,7 +116,7 @@
 
 void TenantQuota::Charge(double units) {
   bucket_.Charge(units, plan_->burst_units);
-  used_units_ += units;
+  spent_units_ += units;
   unreported_units_ += units;
   if (!known_) unknown_spent_units_ += units;
 }
@@ -148,18 +149,22 @@
     result.counter_lost_state = true;
     return result;
   }
-  // The first report of a window also tells burst - S to everybody: most gateways see a tenant too seldom to
-  // know it. One that does not know it reads the window before. Where both fail a full store is assumed.
+  // The first report of a window also adds the starting deficit, for the gateways that see the tenant too
+  // seldom to know it. Where the first reporter does not know it either, it reads the window before; where
+  // that fails too, a full store is assumed.
   bool first =
       others_units < kTotalRoundingUnits && total > 0 && total - reported_units < kTotalRoundingUnits;
-  if (first && known_) unreported_units_ += carried_units_;
+  if (first && known_) unreported_units_ += starting_deficit_;
   result.first_of_unknown_window = first && !known_;
-  others_units = std::max(0.0, others_units) - std::min(carried_units_, std::max(0.0, others_units));
-  carried_units_ = 0;
-  used_units_ += others_units;
+  others_units = std::max(0.0, others_units);
+  // The total may contain the deficit that another gateway has added. What is known of it here is counted
+  // already.
+  others_units -= std::min(starting_deficit_, others_units);
+  starting_deficit_ = 0;
+  spent_units_ += others_units;
   UpdateRates(reported_units, others_units, elapsed_s, in_window_s);
-  bucket_.Reset(
-      std::min(plan_->burst_units, plan_->burst_units + plan_->rate_units_per_s * in_window_s - used_units_));
+  bucket_.Reset(std::min(plan_->burst_units,
+                         plan_->burst_units + plan_->rate_units_per_s * in_window_s - spent_units_));
   known_ = true;
   return result;
 }
--- a/src/policy/tenant_quota.h
+++ b/src/policy/tenant_quota.h
@@ -22,11 +22,16 @@
 // Length of one counter window: the time in which the rate refills the burst.
 inline double WindowSeconds(const PlanSettings& plan) { return plan.burst_units / plan.rate_units_per_s; }
 
-// Rule: within each window, all gateways together forward at most the store S that the window began with plus
-// rate x window (DESIGN). S starts at the burst; each window S = clip(S + rate x window - used, 0, burst).
+// Rule (DESIGN): time is cut into windows of one burst at the quota's rate. A window starts with a store of
+// units, at most one burst. All gateways together may forward the store plus what the rate adds during the
+// window. What is left becomes the next window's store; what was overspent is missing from it.
 //
-// Invariants: tokens never exceed the burst; `used` is burst - S plus all units of this window that are known
-// here; units charged here are reported to the counter exactly once, or kept in `unreported_units`.
+// Here the store is kept as its deficit, burst - store. Spent units are the deficit at the window's start
+// plus all units of this window that are known here: own charges, and the other gateways' by the counter's
+// totals.
+//
+// Invariants: tokens never exceed the burst; units charged here are reported to the counter exactly once, or
+// kept as unreported.
 //
 // Where the counter has not answered yet, or no longer does, the other gateways are taken to go on as last
 // known, so this gateway stays within its own part of the quota.
@@ -49,7 +54,7 @@
   double tokens() const { return bucket_.tokens(); }
   double unreported_units() const { return unreported_units_; }
   int64_t window() const { return window_; }
-  // Whether a total of this window, or of one right before, has been read.
+  // Whether what the other gateways use is known: a total was read, and no window has been missed since.
   bool IsKnown() const { return known_; }
 
   // Brings buckets and window up to now. Every other call expects that it has been called for its clock.
@@ -104,8 +109,8 @@
   double others_rate_units_per_s_ = 0;  // forwarded by the other gateways, as last known
   double own_rate_units_per_s_ = 0;     // forwarded by this one
   int64_t window_ = 0;
-  double carried_units_ = 0;        // burst - S at the window's start, as known here
-  double used_units_ = 0;           // burst - S, plus what this window has used
+  double starting_deficit_ = 0;     // of this window, until the first total: later totals contain it
+  double spent_units_ = 0;          // starting deficit, plus what this window is known to have used
   double last_total_ = 0;           // read in this window
   double total_read_s_ = 0;         // clock of that
   double unreported_units_ = 0;     // charged here and not yet told to the counter
--- a/tests/policy/demand_share_test.cpp
+++ b/tests/policy/demand_share_test.cpp
@@ -1,5 +1,5 @@
-// The share term (PAPER eq. 12): quota that other tenants leave unused, which a tenant of a soft plan may
-// borrow.
+// The share term (PAPER, eq. 11 and 12): capacity that other tenants leave unused, which a tenant may borrow
+// where its plan allows that.
 #include <gtest/gtest.h>
 
 #include "support/policy_fixture.h"
