--- /dev/null
+++ b/tests/net/backend_connection_pool_test.cpp
@@ -0,0 +1,194 @@
+#include "net/backend_connection_pool.h"
+
+#include <poll.h>
+
+#include <chrono>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/event_loop.h"
+#include "support/http_message.h"
+#include "support/manual_listener.h"
+#include "support/stub_server.h"
+#include "support/test_connection.h"
+
+namespace gateway::net {
+namespace {
+
+using namespace test_support;
+using policy::CallResult;
+
+// A pool among backends of the test's own, in a loop that the test turns.
+struct PoolFixture : Loop {
+  explicit PoolFixture(double settle_s = 0) : pool(io, 30, 5, 0.5, 100, settle_s) {}
+  uint64_t Send(uint32_t backend, const std::string& request) {
+    return pool.Send(
+        backend, [request](double) { return request; }, 50,
+        [this](AttemptResult end) { ends.push_back(std::move(end)); });
+  }
+  std::vector<AttemptResult> ends;  // of the attempts, as they ended
+  BackendConnectionPool pool;
+};
+
+// An attempt is cancelled in the very handler that has written its last bytes, while the callback that says
+// so is still queued. If the pool went by the callback it would report the request as not sent, and a retry
+// would run it a second time. A request far larger than both sockets' buffers makes sure that its last bytes
+// go out late.
+TEST(BackendConnectionPool, CancelKnowsAWrittenRequestBeforeItsCallback) {
+  std::string request(24 << 20, 'b');
+  Listener backend;
+  PoolFixture p;
+  p.pool.Update(1, At(backend.port()));
+  uint64_t attempt = p.Send(1, request);
+  p.Until([&] { return backend.Waiting(); });
+  auto wire = backend.Take();
+  size_t got = 0;
+  bool complete = false;
+  CancelResult cancelled = CancelResult::kAlreadyEnded;
+  auto end = Clock::now() + std::chrono::seconds(kLimitS);
+  pollfd ready{wire->fd(), POLLIN, 0};
+  while (!complete && Clock::now() < end) {
+    // Everything is read before the loop takes its next step, so that one step may write the rest.
+    while (poll(&ready, 1, 5) > 0 && wire->More()) {
+      got += wire->unread.size();
+      wire->unread.clear();
+    }
+    complete = got == request.size();
+    if (complete) {
+      cancelled = p.pool.Cancel(attempt);
+    } else {
+      p.io.restart();
+      p.io.poll_one();
+    }
+  }
+  EXPECT_EQ(got, request.size());
+  EXPECT_EQ(cancelled, CancelResult::kMayHaveRun) << "the backend has its last byte";
+}
+
+// The client of a request has left. An attempt whose connection is still to come up, or of which only a part
+// has been written, has not run and is cancelled: nothing more of it may reach the backend. One that is
+// completely written may have run, so it goes on to its response.
+TEST(BackendConnectionPool, DropUnsentCancelsOnlyIncompletelyWrittenRequests) {
+  std::string request(24 << 20, 'b');
+  Listener backend;
+  PoolFixture p;
+  p.pool.Update(1, At(backend.port()));
+  uint64_t connecting = p.Send(1, "unsent");
+  EXPECT_TRUE(p.pool.DropUnsent(connecting)) << "its connection is not up yet";
+  EXPECT_FALSE(p.pool.DropUnsent(connecting));
+  uint64_t partial = p.Send(1, request);
+  auto first = backend.Take(), second = backend.Take();
+  pollfd ready{second->fd(), POLLIN, 0};
+  p.Until([&] { return poll(&ready, 1, 0) > 0; });
+  EXPECT_TRUE(p.pool.DropUnsent(partial));
+  while (first->More() || second->More()) {
+  }
+  EXPECT_EQ(first->unread, "");
+  EXPECT_GT(second->unread.size(), 0u);
+  EXPECT_LT(second->unread.size(), request.size());
+  uint64_t written = p.Send(1, "complete");
+  auto third = backend.Take();
+  ready.fd = third->fd();
+  p.Until([&] { return poll(&ready, 1, 0) > 0; });
+  EXPECT_FALSE(p.pool.DropUnsent(written)) << "the backend has all of it";
+  third->Write(Ok("x"));
+  p.Until([&] { return p.ends.size() == 1; });
+  EXPECT_EQ(p.ends[0].result, CallResult::kOk);
+}
+
+// The backend has the complete request. Its response is there, but not read yet, when the attempt is
+// cancelled; or the connection is reset in place of a response. The request may have run in both cases,
+// whichever event is seen first.
+TEST(BackendConnectionPool, AnAttemptThatEndsAsItsResponseComesMayHaveRun) {
+  Listener backend;
+  PoolFixture p;
+  p.pool.Update(1, At(backend.port()));
+  uint64_t attempt = p.Send(1, "request");
+  p.Until([&] { return backend.Waiting(); });
+  auto wire = backend.Take();
+  pollfd ready{wire->fd(), POLLIN, 0};
+  p.Until([&] { return poll(&ready, 1, 0) > 0; });
+  wire->Write(Ok("x"));  // unread when the attempt is cancelled
+  EXPECT_EQ(p.pool.Cancel(attempt), CancelResult::kMayHaveRun);
+  attempt = p.Send(1, "request");
+  p.Until([&] { return backend.Waiting(); });
+  wire = backend.Take();
+  ready.fd = wire->fd();
+  p.Until([&] { return poll(&ready, 1, 0) > 0; });
+  wire->Reset();
+  p.Until([&] { return p.ends.size() == 1; });
+  EXPECT_EQ(p.ends[0].result, CallResult::kReset);
+}
+
+// A connection has come up but the pool has not seen that yet. Then the endpoint list says that the backend
+// is draining for longer than its grace, gone, or at another address. A request that was sent all the same
+// would reach a backend that must not get it. The grace runs from the notification, which may be long before
+// the list was read.
+TEST(BackendConnectionPool, SendsNothingWhenTheEndpointListOvertakesTheConnect) {
+  for (std::string change : {"drained long ago", "drained now", "gone", "moved"}) {
+    Listener backend;
+    PoolFixture p;
+    p.pool.Update(1, At(backend.port()));
+    p.Send(1, "request");
+    if (change == "drained long ago") p.pool.Drain(1, Clock::now() - std::chrono::seconds(5));
+    if (change == "drained now") p.pool.Drain(1, Clock::now());
+    if (change == "gone") p.pool.Remove(1);
+    if (change == "moved") p.pool.Update(1, At(DeadPort()));
+    if (change == "drained now") {
+      p.Until([&] { return backend.Waiting(); });
+      auto wire = backend.Take();
+      pollfd ready{wire->fd(), POLLIN, 0};
+      p.Until([&] { return poll(&ready, 1, 0) > 0 || !p.ends.empty(); });
+      continue;  // within its grace, or past it on a slow machine: either is right
+    }
+    p.Until([&] { return p.ends.size() == 1; });
+    EXPECT_EQ(p.ends[0].result, CallResult::kConnectFailed) << change;
+    EXPECT_EQ(backend.All(), "") << change;
+  }
+}
+
+// A faulty backend sends its response twice, some milliseconds apart. On a connection that is used again at
+// once the second one would pass for the response to the next request, perhaps another client's. The next
+// request goes out on another connection instead.
+TEST(BackendConnectionPool, SettlesAConnectionBeforeItsNextRequest) {
+  Listener backend;
+  PoolFixture p(1000);
+  p.pool.Update(1, At(backend.port()));
+  p.Send(1, "one");
+  p.Until([&] { return backend.Waiting(); });
+  auto first = backend.Take();
+  first->Write(Ok("one"));
+  p.Until([&] { return p.ends.size() == 1; });
+  p.Send(1, "two");
+  first->Write(Ok("one again"));
+  p.Until([&] { return backend.Waiting(); });
+  ASSERT_TRUE(backend.Waiting());
+  auto second = backend.Take();
+  second->Write(Ok("two"));
+  p.Until([&] { return p.ends.size() == 2; });
+  EXPECT_EQ(p.ends[1].body, "two");
+}
+
+// A connection that has settled after its response carries the next request: three requests need one
+// connection.
+TEST(BackendConnectionPool, ReusesASettledConnection) {
+  Listener backend;
+  PoolFixture p(0);
+  p.pool.Update(1, At(backend.port()));
+  std::unique_ptr<Wire> wire;
+  for (size_t i = 1; i <= 3; ++i) {
+    p.Send(1, "one");
+    if (wire == nullptr) {
+      p.Until([&] { return backend.Waiting(); });
+      wire = backend.Take();
+    }
+    wire->Write(Ok("one"));
+    p.Until([&] { return p.ends.size() == i; });
+  }
+  EXPECT_FALSE(backend.Waiting());
+}
+
+}  // namespace
+}  // namespace gateway::net
--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -3,6 +3,7 @@
 
 #include <atomic>
 #include <chrono>
+#include <cstdlib>
 #include <functional>
 #include <string>
 #include <vector>
--- /dev/null
+++ b/tests/net/discovery_client_test.cpp
@@ -0,0 +1,250 @@
+#include "net/discovery_client.h"
+
+#include <poll.h>
+
+#include <chrono>
+#include <cstdlib>
+#include <functional>
+#include <memory>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/event_loop.h"
+#include "support/http_message.h"
+#include "support/manual_listener.h"
+#include "support/stub_discovery.h"
+#include "support/test_connection.h"
+
+namespace gateway::net {
+namespace {
+
+using namespace test_support;
+
+// A client and its agent, which the test plays itself.
+struct DiscoveryFixture : Loop {
+  explicit DiscoveryFixture(double drain_grace_s = 1) {
+    site.drain_grace_s = drain_grace_s;
+    site.connect_timeout_s = 0.25;
+    client.emplace(
+        io, At(listener.port()), site, &ids, [this](EndpointList list) { lists.push_back(std::move(list)); },
+        [this] { ++failed; });
+    client->Start();
+    Connected();
+  }
+  // Accepts the client's next connection.
+  void Connected() {
+    Until([&] { return listener.Waiting(); });
+    wire = listener.Take();
+  }
+  // The head of the client's next poll or watch.
+  std::string Ask() {
+    pollfd ready{wire->fd(), POLLIN, 0};
+    Until([&] { return poll(&ready, 1, 0) > 0; });
+    return wire->Read().head;
+  }
+  // Answers by a list of one endpoint, and waits until the client has taken or rejected it.
+  void Tell(int index, bool full, const std::string& status) {
+    size_t before = lists.size();
+    int failures = failed;
+    wire->Write(
+        Ok(json{{"index", index}, {"snapshot", full}, {"endpoints", {Entry("a", 1, status)}}}.dump(2)));
+    Until([&] { return lists.size() > before || failed > failures; });
+  }
+  config::DeploymentSettings site;
+  EndpointIds ids;
+  Listener listener;
+  std::unique_ptr<Wire> wire;
+  std::vector<EndpointList> lists;  // that the client has taken
+  int failed = 0;                   // exchanges
+  std::optional<DiscoveryClient> client;
+};
+
+// A backend begins to drain while no watch is open, or while one hangs, so that the gateway reads of it late.
+// Its grace runs all the same: what the agent has counts as notified from its last response on, or from the
+// gateway's start.
+TEST(DiscoveryClient, CountsAChangeAsNotifiedSinceTheLastResponse) {
+  auto start = Clock::now();
+  DiscoveryFixture agent;
+  auto begun = Clock::now();
+  agent.Ask();
+  agent.Tell(1, true, "active");
+  ASSERT_EQ(agent.lists.size(), 1u);
+  EXPECT_GE(agent.lists[0].notified_at, start);
+  EXPECT_LE(agent.lists[0].notified_at, begun) << "a new process counts as notified from its start";
+  auto first_response = Clock::now();
+  EXPECT_NE(agent.Ask().find("after=1"), std::string::npos);
+  agent.wire->Reset();  // the watch breaks, and the list changes while none is open
+  agent.Connected();
+  agent.Ask();
+  agent.Tell(2, false, "leaving");
+  ASSERT_EQ(agent.lists.size(), 2u);
+  EXPECT_LE(agent.lists[1].notified_at, first_response);
+}
+
+// A watch hangs and is never answered again. It has to be given up within the draining grace, less what a
+// connection may take to come up, or requests would be sent to a draining backend past its grace.
+TEST(DiscoveryClient, PollsAgainWithinTheDrainGrace) {
+  for (double drain_grace_s : {0.5, 1.0, 2.0}) {
+    DiscoveryFixture agent(drain_grace_s);
+    agent.Ask();
+    agent.Tell(1, true, "active");
+    std::string watch = agent.Ask();
+    size_t at = watch.find("wait_ms=");
+    ASSERT_NE(at, std::string::npos);
+    int wait_ms = std::atoi(watch.c_str() + at + 8);
+    EXPECT_GT(wait_ms, 0);
+    EXPECT_LE(wait_ms, 1000 * std::max(0.25, drain_grace_s - 0.25) / 2);
+    auto silent = std::move(agent.wire);
+    agent.Connected();  // while the old watch stays open and silent
+    EXPECT_FALSE(agent.Ask().empty());
+  }
+}
+
+// A watch is answered by an index that goes back, as after a restart of the agent. What changed since is not
+// known then. The full list is polled, and taken whatever its index.
+TEST(DiscoveryClient, RejectsAChangeOfAnOlderIndex) {
+  DiscoveryFixture agent;
+  agent.Ask();
+  agent.Tell(7, true, "leaving");
+  agent.Ask();
+  agent.Tell(3, false, "active");
+  EXPECT_EQ(agent.lists.size(), 1u);
+  agent.Connected();
+  EXPECT_EQ(agent.Ask().find("after="), std::string::npos);
+  agent.Tell(3, true, "active");
+  EXPECT_EQ(agent.lists.size(), 2u);
+  EXPECT_NE(agent.Ask().find("after=3"), std::string::npos);
+}
+
+// The agent sends a byte every 10 ms and never the end of its response, to a poll or to a watch. It is never
+// silent for long, so that only the limit on the whole response ends the exchange. The next one has to get
+// the list.
+TEST(DiscoveryClient, TimesOutAResponseThatNeverEnds) {
+  for (bool watch : {false, true}) {
+    DiscoveryFixture agent(2.5);
+    agent.Ask();
+    if (watch) {
+      agent.Tell(1, true, "active");
+      agent.Ask();
+    }
+    std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"index\":2,";
+    size_t at = 0;
+    auto next = Clock::now();
+    agent.Until([&] {
+      if (Clock::now() >= next) {
+        agent.wire->Write(at < text.size() ? text.substr(at, 1) : " ");
+        next = Clock::now() + std::chrono::milliseconds(10);
+        ++at;
+      }
+      return agent.failed > 0 && agent.listener.Waiting();
+    });
+    EXPECT_EQ(agent.failed, 1) << watch;
+    agent.Connected();
+    agent.Ask();
+    agent.Tell(2, true, "leaving");
+    EXPECT_EQ(agent.lists.back().index, 2u) << watch;
+  }
+}
+
+// An exchange is reset, cut off, hangs after half a response, or brings an error, no HTTP or no list. However
+// it fails, the next one has to begin, and after some failures in a row the full list is polled.
+TEST(DiscoveryClient, PollsAgainHoweverAnExchangeFails) {
+  std::vector<std::pair<std::string, std::function<void(DiscoveryFixture&)>>> ends = {
+      {"reset", [](DiscoveryFixture& a) { a.wire->Reset(); }},
+      {"half a response",
+       [](DiscoveryFixture& a) {
+         a.wire->Write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"ind");
+         a.wire->EndSending();
+       }},
+      {"silence after half", [](DiscoveryFixture& a) { a.wire->Write("HTTP/1.1 200 OK\r\nContent-Le"); }},
+      {"503", [](DiscoveryFixture& a) { a.wire->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); }},
+      {"noise", [](DiscoveryFixture& a) { a.wire->Write("*** \r\n\r\n"); }},
+      {"no list", [](DiscoveryFixture& a) { a.wire->Write(Ok("{}")); }}};
+  for (const auto& [how, end] : ends) {
+    DiscoveryFixture agent(2.5);
+    agent.Ask();
+    agent.Tell(1, true, "active");
+    for (int i = 0; i < 4; ++i) {  // past the fallback to the full list
+      agent.Ask();
+      auto broken = std::move(agent.wire);
+      std::swap(agent.wire, broken);
+      end(agent);
+      broken = std::move(agent.wire);
+      agent.Connected();
+    }
+    EXPECT_EQ(agent.Ask().find("after="), std::string::npos) << how;
+    agent.Tell(9, true, "leaving");
+    EXPECT_EQ(agent.lists.back().index, 9u) << how;
+  }
+}
+
+// The agent answers each watch at once with nothing new. Without a pause between watches that would keep the
+// gateway busy.
+TEST(DiscoveryClient, PausesBetweenWatchesWithNothingNew) {
+  DiscoveryFixture agent(2.5);
+  agent.Ask();
+  agent.Tell(1, true, "active");
+  auto began = Clock::now();
+  constexpr int kWatches = 10;
+  for (int i = 0; i < kWatches; ++i) {
+    EXPECT_NE(agent.Ask().find("after=1"), std::string::npos);
+    bool full = i % 2 == 0;
+    size_t before = agent.lists.size();
+    json entries = full ? json::array({Entry("a", 1)}) : json::array();
+    agent.wire->Write(Ok(json{{"index", 1}, {"snapshot", full}, {"endpoints", entries}}.dump()));
+    agent.Until([&] { return agent.lists.size() > before; });
+  }
+  // A lower bound, which holds on a slow machine too.
+  EXPECT_GE(Clock::now() - began, (kWatches - 1) * std::chrono::milliseconds(20));
+}
+
+// The agent sends interim responses ahead of the list, and pauses within it for longer than the silence that
+// a short grace allows. The allowed silence doubles with each failure, so that the list is read in the end.
+TEST(DiscoveryClient, ToleratesPausesAndInterimResponses) {
+  DiscoveryFixture agent(0.5);  // silence is noticed after 75 ms
+  agent.Ask();
+  agent.Tell(1, true, "active");
+  std::string text = Ok(json{{"index", 2}, {"snapshot", true}, {"endpoints", {Entry("a", 1)}}}.dump());
+  std::string interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
+  // The third exchange at the latest: 300 ms are allowed by then.
+  for (int i = 0; i < 6 && agent.lists.size() < 2; ++i) {
+    agent.Ask();
+    agent.wire->Write(interim + interim + text.substr(0, 40));
+    auto resume = Clock::now() + std::chrono::milliseconds(150);
+    int failed = agent.failed;
+    agent.Until([&] { return Clock::now() >= resume || agent.failed > failed; });
+    if (agent.failed > failed) {
+      agent.Connected();
+      continue;
+    }
+    agent.wire->Write(text.substr(40));
+    agent.Until([&] { return agent.lists.size() == 2 || agent.failed > failed; });
+  }
+  EXPECT_EQ(agent.lists.size(), 2u);
+}
+
+// SIGHUP names another agent, which accepts connections, answers nothing at first, and then does. The client
+// has to poll it again until it gets the full list.
+TEST(DiscoveryClient, PollsAgainWhereTheNewAgentIsSilent) {
+  DiscoveryFixture agent(2.5);
+  agent.Ask();
+  agent.Tell(1, true, "active");
+  agent.Ask();
+  Listener next;
+  agent.client->SwitchTo(At(next.port()));
+  std::vector<std::unique_ptr<Wire>> silent;
+  for (int i = 0; i < 3; ++i) {
+    agent.Until([&] { return next.Waiting(); });
+    silent.push_back(next.Take());
+  }
+  agent.Until([&] { return next.Waiting(); });
+  agent.wire = next.Take();
+  EXPECT_EQ(agent.Ask().find("after="), std::string::npos);
+  agent.Tell(5, true, "leaving");
+  EXPECT_EQ(agent.lists.back().index, 5u);
+}
+
+}  // namespace
+}  // namespace gateway::net
--- a/tests/net/endpoint_list_test.cpp
+++ b/tests/net/endpoint_list_test.cpp
@@ -1,5 +1,6 @@
 #include "net/endpoint_list.h"
 
+#include <string>
 #include <string_view>
 
 #include "support/gateway_fixture.h"
--- a/tests/net/gateway_configuration_test.cpp
+++ b/tests/net/gateway_configuration_test.cpp
@@ -1,5 +1,6 @@
 // A running gateway's configuration: faults at the start, and reloading on SIGHUP.
 #include <csignal>
+#include <functional>
 #include <string>
 #include <utility>
 #include <vector>
@@ -58,5 +59,34 @@
   }
 }
 
+// SIGHUP comes when the file is another gateway's or another deployment's, or its cached list is invalid.
+// Applied even in part it would send requests to a foreign fleet. Nothing of it is used, and the log says
+// why.
+TEST(GatewayConfiguration, KeepsItsOwnWhenTheFileIsAnotherGateways) {
+  std::vector<std::pair<std::string, std::function<void(json&)>>> others = {
+      {"name", [](json& c) { c["name"] = "n1"; }},
+      {"listen", [](json& c) { c["listen"] = "127.0.0.2:0"; }},
+      {"request-classes", [](json& c) { c["settings"]["request-classes"][0]["name"] = "other"; }},
+      {"request-classes", [](json& c) { c["settings"]["request-classes"][0]["effect"] = "guarded"; }},
+      {"tiers-of-service", [](json& c) { c["settings"]["tiers-of-service"].erase(1); }},
+      {"known", [](json& c) {
+         c["known"] = {{"index", "x"}};
+       }}};
+  for (const auto& [word, change] : others) {
+    Backend backend(Says(Ok("x")));
+    Discovery foreign;
+    Site site(json::array({Entry("s1", backend.port())}));
+    json config = Config(foreign.port(), DeadPort());
+    change(config);
+    site.gateway->Reload(config.dump());
+    EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+    site.gateway->Signal(SIGTERM);
+    EXPECT_EQ(site.gateway->Exit(), 0);
+    EXPECT_EQ(foreign.asked.count(), 0) << word;
+    EXPECT_NE(site.gateway->rest.find("configuration_rejected"), std::string::npos) << word;
+    EXPECT_NE(site.gateway->rest.find(word), std::string::npos) << site.gateway->rest;
+  }
+}
+
 }  // namespace
 }  // namespace gateway::net
--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -174,5 +174,31 @@
   }
 }
 
+// Idle clients hold every descriptor that clients may have while discovery is silent and the counter has
+// gone. Then both come back at other addresses. The gateway still has descriptors for its connections to them
+// and to a backend that it did not know before; idle clients are evicted and new ones served.
+TEST(GatewayConnections, ReservesDescriptorsForItsOwnConnections) {
+  constexpr rlim_t kDescriptors = 64;
+  Backend before(Says(Ok("before"))), after(Says(Ok("after")));
+  json config = Config(0, 0);
+  config["limits"]["sockets"] = kDescriptors;
+  Site site(json::array({Entry("s1", before.port())}), config, API_GATEWAY, kDescriptors);
+  site.discovery.Silence(true);
+  site.counter.Stop();
+  std::vector<std::unique_ptr<Wire>> idle;
+  for (int i = 0; i < 200; ++i) idle.push_back(site.gateway->Connect());
+  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).body, "before") << "a new client is served";
+  Counter counter([](const std::string&, double) { return Bulk("0"); });
+  Discovery discovery;
+  discovery.Set(json::array({Entry("s2", after.port())}));
+  config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
+  config["counter"] = "127.0.0.1:" + std::to_string(counter.port());
+  site.gateway->Reload(config.dump());
+  EXPECT_TRUE(discovery.Told()) << "its connection to discovery comes up";
+  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).body, "after") << "and one to a backend";
+  while (counter.calls.count() == 0) Ask(*site.gateway->Connect(), Request("quote", 2));
+  EXPECT_TRUE(idle.front()->Ended()) << "the one idle longest was evicted";
+}
+
 }  // namespace
 }  // namespace gateway::net
--- a/tests/net/gateway_discovery_test.cpp
+++ b/tests/net/gateway_discovery_test.cpp
@@ -1,9 +1,12 @@
 // A running gateway and discovery.
 #include <atomic>
 #include <chrono>
+#include <csignal>
 #include <cstdlib>
+#include <memory>
 #include <string>
 #include <thread>
+#include <vector>
 
 #include "support/gateway_fixture.h"
 
@@ -78,5 +81,35 @@
   EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
 }
 
+// A hundred gateways start at once with a long cached list, while discovery is silent or refuses connections.
+// Each has to become ready by its cached list: readiness waits for no more than the first poll to fail.
+TEST(GatewayDiscovery, BecomesReadyWithoutDiscoveryWhenManyStartAtOnce) {
+  constexpr size_t kProcesses = 100, kListed = 2000;
+  json cached = json::array();
+  for (size_t i = 0; i < kListed; ++i) cached.push_back(Entry(std::to_string(i), 9));
+  Discovery silent;
+  silent.Silence(true);
+  std::string configs[] = {Config(silent.port(), DeadPort(), cached).dump(),
+                           Config(DeadPort(), DeadPort(), cached).dump()};
+  std::vector<std::unique_ptr<Process>> gateways(kProcesses);
+  std::vector<std::thread> starting;
+  for (size_t i = 0; i < kProcesses; ++i) {
+    starting.emplace_back(
+        [&, i] { gateways[i] = std::make_unique<Process>(configs[i % 2], API_GATEWAY, rlim_t{0}); });
+  }
+  for (std::thread& start : starting) start.join();
+  for (auto& gateway : gateways) {
+    ASSERT_NE(gateway->port, 0) << gateway->line;
+    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto probe = gateway->Connect();
+    int status = 0;
+    while (status != 200 && std::chrono::steady_clock::now() < limit) {
+      status = Ask(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+    }
+    EXPECT_EQ(status, 200);
+  }
+  for (auto& gateway : gateways) gateway->Signal(SIGTERM);  // each takes half a second to end
+}
+
 }  // namespace
 }  // namespace gateway::net
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -2,10 +2,15 @@
 #include <atomic>
 #include <chrono>
 #include <cstdlib>
+#include <memory>
 #include <string>
+#include <thread>
 #include <vector>
 
+#include "net/clock.h"
 #include "support/gateway_fixture.h"
+#include "support/manual_listener.h"
+#include "support/tcp_table.h"
 
 namespace gateway::net {
 namespace {
@@ -193,5 +198,27 @@
   EXPECT_TRUE(given_up.Wait()) << "what is out at the answer is given up";
 }
 
+// A connection takes 0.3 s to come up. The time-out that the backend is sent must be what is left of the
+// client's time then, or the backend would work on a request that nobody waits for any more.
+TEST(Gateway, SendsTheTimeLeftWhenTheBackendConnectionIsUp) {
+  Listener backend(0);
+  auto filler = Wire::To(backend.port());  // holds the only place in the listener's queue
+  Site site(json::array({Entry("s1", backend.port())}), NoCancel(0, 0));
+  auto client = site.gateway->Connect();
+  client->Write(Request("quote", 1, 60000));
+  AwaitConnecting(backend.port());
+  auto began = Clock::now();
+  while (Clock::now() < began + std::chrono::milliseconds(300))
+    std::this_thread::yield();  // does not come up
+  auto taken = backend.Take();  // frees the place
+  std::unique_ptr<Wire> wire = backend.Take();
+  Message request = wire->Read();
+  double timeout_ms = std::atof(request.Header("Request-Timeout-Ms").c_str());
+  EXPECT_GT(timeout_ms, 0);
+  EXPECT_LE(timeout_ms, 60000 - 300);
+  wire->Write(Ok("x"));
+  EXPECT_EQ(client->Read().status(), 200);
+}
+
 }  // namespace
 }  // namespace gateway::net
--- a/tests/support/gateway_config_json.h
+++ b/tests/support/gateway_config_json.h
@@ -55,7 +55,7 @@
 
 // A gateway's configuration file, by the ports of its discovery and counter; `known` are the endpoints of its
 // cached list.
-inline json Config(int discovery, int counter, json known = {}) {
+inline json Config(int discovery, int counter, const json& known = {}) {
   auto at = [](int port) { return "127.0.0.1:" + std::to_string(port); };
   return {
       {"name", "n0"},
@@ -68,6 +68,16 @@
       {"settings", Settings()}};
 }
 
+// The same without cancellation, and with such long limits that nothing ends by its time within a test.
+inline json NoCancel(int discovery, int counter) {
+  json config = Config(discovery, counter);
+  config["settings"]["limits"]["cancel"] = false;
+  config["settings"]["limits"]["connect-timeout-s"] = 20.0;
+  config["settings"]["specifics"]["counter-timeout-s"] = 5.0;
+  for (json& cls : config["settings"]["request-classes"]) cls["hard-limit-s"] = 60.0;
+  return config;
+}
+
 }  // namespace gateway::test_support
 
 #endif  // GATEWAY_TESTS_SUPPORT_GATEWAY_CONFIG_JSON_H_
--- a/tests/support/stub_counter.h
+++ b/tests/support/stub_counter.h
@@ -22,21 +22,8 @@
  public:
   using Response = std::function<std::string(const std::string&, double)>;
   explicit Counter(Response answer)
-      : server_([this, answer = std::move(answer)](Wire& wire) {
-          for (;;) {
-            std::vector<std::string> parts;
-            std::string first;
-            if (!Line(wire, &first)) return;
-            for (int i = 0; i < std::atoi(first.c_str() + 1); ++i) {
-              std::string size, part;
-              if (!Line(wire, &size) || !Line(wire, &part)) return;
-              EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), part.size());
-              parts.push_back(part);
-            }
-            EXPECT_EQ(parts.size(), 4u);
-            EXPECT_LE(parts[1].size(), 64u);
-            calls.Add();
-            wire.Write(answer(parts[1], std::atof(parts[2].c_str())));
+      : answer_(std::move(answer)), server_([this](Wire& wire) {
+          while (AnswerCall(wire)) {
           }
         }) {}
   int port() const { return server_.port(); }
@@ -45,6 +32,28 @@
   Event calls;
 
  private:
+  // False at the connection's end.
+  bool AnswerCall(Wire& wire) {
+    std::vector<std::string> parts;
+    if (!ReadCall(wire, &parts)) return false;
+    EXPECT_EQ(parts.size(), 4u);
+    EXPECT_LE(parts[1].size(), 64u);
+    calls.Add();
+    wire.Write(answer_(parts[1], std::atof(parts[2].c_str())));
+    return true;
+  }
+  // A call is a RESP2 array of bulk strings.
+  static bool ReadCall(Wire& wire, std::vector<std::string>* parts) {
+    std::string first;
+    if (!Line(wire, &first)) return false;
+    for (int i = 0; i < std::atoi(first.c_str() + 1); ++i) {
+      std::string size, part;
+      if (!Line(wire, &size) || !Line(wire, &part)) return false;
+      EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), part.size());
+      parts->push_back(part);
+    }
+    return true;
+  }
   static bool Line(Wire& wire, std::string* line) {
     size_t end;
     while ((end = wire.unread.find("\r\n")) == std::string::npos) {
@@ -54,6 +63,7 @@
     wire.unread.erase(0, end + 2);
     return true;
   }
+  Response answer_;
   Server server_;
 };
 
--- a/tests/support/stub_discovery.h
+++ b/tests/support/stub_discovery.h
@@ -61,7 +61,7 @@
   }
   // The next list. With `snapshot` watches get all of `entries`, else `entries` are the changes that make up
   // `whole`. `garbage`, if any, is the body of the next answer in place of a list.
-  void Set(json entries, bool snapshot = true, json whole = {}, std::string garbage = "") {
+  void Set(json entries, bool snapshot = true, const json& whole = {}, std::string garbage = "") {
     std::lock_guard lock(mutex_);
     whole_ = snapshot ? entries : whole;
     entries_ = std::move(entries);
