--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -14,81 +14,82 @@
 
 using namespace test_support;
 
-struct Calls {
-  Calls(int port, double timeout_s)
+// A client and the replies that it has given. Its event loop runs within Until() only.
+struct ClientUnderTest {
+  ClientUnderTest(int port, double timeout_s)
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
-               [this](policy::CounterReply a) { answers.push_back(a); }) {}
+               [this](policy::CounterReply reply) { replies.push_back(reply); }) {}
   void Until(const std::function<bool()>& done) {
     auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(50));
     EXPECT_TRUE(done());
   }
   boost::asio::io_context io;
-  std::vector<policy::CounterReply> answers;
+  std::vector<policy::CounterReply> replies;
   net::CounterClient client;
 };
 
 // A reply comes after its call's time-out, when further calls are in flight on the connection. Taken for the
 // next call's reply it would give a wrong total, and shift every reply after it.
 TEST(CounterClient, MatchesLateRepliesToTheirOwnCalls) {
-  Event go;
+  Event released;
   Counter counter([&](const std::string&, double amount) {
-    if (amount == 1) go.Wait();
+    if (amount == 1) released.Wait();
     return Bulk(std::to_string(amount));
   });
-  Calls calls(counter.port(), 0.5);
-  calls.client.Call(11, 1, 5);
-  calls.Until([&] { return calls.answers.size() == 1; });
-  EXPECT_EQ(calls.answers[0].result, policy::CallResult::kTimeout) << "it may have been added";
-  go.Add();
+  ClientUnderTest test(counter.port(), 0.5);
+  test.client.Call(11, 1, 5);
+  test.Until([&] { return test.replies.size() == 1; });
+  EXPECT_EQ(test.replies[0].result, policy::CallResult::kTimeout) << "it may have been added";
+  released.Add();
   for (int i = 0; i < 20; ++i) {
-    calls.client.Call(20 + i, 2 + i, 5);
-    calls.Until([&] { return calls.answers.size() == 2 + static_cast<size_t>(i); });
-    if (calls.answers.back().result != policy::CallResult::kOk) continue;
-    EXPECT_EQ(calls.answers.back().key, 20u + i);
-    EXPECT_EQ(calls.answers.back().total, 2.0 + i);
+    test.client.Call(20 + i, 2 + i, 5);
+    test.Until([&] { return test.replies.size() == 2 + static_cast<size_t>(i); });
+    if (test.replies.back().result != policy::CallResult::kOk) continue;
+    EXPECT_EQ(test.replies.back().key, 20u + i);
+    EXPECT_EQ(test.replies.back().total, 2.0 + i);
   }
 }
 
 // The counter's address changes while a call is in flight. That call still ends by what the old counter says,
 // and new calls go to the new address at once.
 TEST(CounterClient, SwitchesAddressAndEndsCallsInFlight) {
-  Event go;
-  Counter before([&](const std::string&, double) { return go.Wait(), Bulk("7"); });
+  Event released;
+  Counter before([&](const std::string&, double) { return released.Wait(), Bulk("7"); });
   Counter after([](const std::string&, double) { return Bulk("9"); });
-  Calls calls(before.port(), 30);
-  calls.client.Call(1, 1, 5);
-  calls.Until([&] { return before.calls.count() == 1; });
-  calls.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
-  calls.client.Call(2, 1, 5);
-  calls.Until([&] { return calls.answers.size() == 1; });
-  EXPECT_EQ(calls.answers[0].key, 2u);
-  EXPECT_EQ(calls.answers[0].total, 9);
-  go.Add();
-  calls.Until([&] { return calls.answers.size() == 2; });
-  EXPECT_EQ(calls.answers[1].key, 1u);
-  EXPECT_EQ(calls.answers[1].total, 7);
+  ClientUnderTest test(before.port(), 30);
+  test.client.Call(1, 1, 5);
+  test.Until([&] { return before.calls.count() == 1; });
+  test.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
+  test.client.Call(2, 1, 5);
+  test.Until([&] { return test.replies.size() == 1; });
+  EXPECT_EQ(test.replies[0].key, 2u);
+  EXPECT_EQ(test.replies[0].total, 9);
+  released.Add();
+  test.Until([&] { return test.replies.size() == 2; });
+  EXPECT_EQ(test.replies[1].key, 1u);
+  EXPECT_EQ(test.replies[1].total, 7);
 }
 
 // Calls fail in three ways: rejected, never connected, and with a connection that ends after they were
 // written. Only the last may have been added; confused, an amount would be counted twice or never.
 TEST(CounterClient, DistinguishesNotAddedFromMaybeAdded) {
   Counter busy([](const std::string&, double) { return std::string("-BUSY\r\n"); });
-  Calls turned_away(busy.port(), 30);
-  turned_away.client.Call(1, 1, 5);
-  turned_away.Until([&] { return turned_away.answers.size() == 1; });
-  EXPECT_EQ(turned_away.answers[0].result, policy::CallResult::kRejected);
+  ClientUnderTest rejected(busy.port(), 30);
+  rejected.client.Call(1, 1, 5);
+  rejected.Until([&] { return rejected.replies.size() == 1; });
+  EXPECT_EQ(rejected.replies[0].result, policy::CallResult::kRejected);
 
-  Calls refused(DeadPort(), 30);
+  ClientUnderTest refused(DeadPort(), 30);
   for (int i = 0; i < 200; ++i) refused.client.Call(i, 1, 5);
-  refused.Until([&] { return refused.answers.size() == 200; });
-  for (const auto& a : refused.answers) EXPECT_EQ(a.result, policy::CallResult::kConnectFailed);
+  refused.Until([&] { return refused.replies.size() == 200; });
+  for (const auto& reply : refused.replies) EXPECT_EQ(reply.result, policy::CallResult::kConnectFailed);
 
   Counter broken([](const std::string&, double) { return std::string("?\r\n"); });
-  Calls broke(broken.port(), 30);
+  ClientUnderTest broke(broken.port(), 30);
   broke.client.Call(1, 1, 5);
-  broke.Until([&] { return broke.answers.size() == 1; });
-  EXPECT_EQ(broke.answers[0].result, policy::CallResult::kTimeout);
+  broke.Until([&] { return broke.replies.size() == 1; });
+  EXPECT_EQ(broke.replies[0].result, policy::CallResult::kTimeout);
 }
 
 // A reply cannot be read. What was in flight on its connection may have been added and times out; nothing
@@ -96,11 +97,11 @@
 TEST(CounterClient, CallsAgainAtOnceAfterAnInvalidReply) {
   std::atomic<int> seen{0};
   Counter counter([&](const std::string&, double) { return seen++ % 2 == 0 ? "$x\r\n" : Bulk("3"); });
-  Calls calls(counter.port(), 30);
+  ClientUnderTest test(counter.port(), 30);
   for (size_t i = 0; i < 40; ++i) {
-    calls.client.Call(i, 1, 5);
-    calls.Until([&] { return calls.answers.size() == i + 1; });
-    EXPECT_EQ(calls.answers[i].result, i % 2 == 0 ? policy::CallResult::kTimeout : policy::CallResult::kOk)
+    test.client.Call(i, 1, 5);
+    test.Until([&] { return test.replies.size() == i + 1; });
+    EXPECT_EQ(test.replies[i].result, i % 2 == 0 ? policy::CallResult::kTimeout : policy::CallResult::kOk)
         << i;
   }
 }
@@ -110,19 +111,19 @@
 TEST(CounterClient, BoundsCallsInFlightAndReconnectsAfterSilence) {
   std::atomic<bool> silent{true};
   Counter counter([&](const std::string&, double) { return silent ? std::string() : Bulk("5"); });
-  Calls calls(counter.port(), 0.05);
-  for (int i = 0; i < 5000; ++i) calls.client.Call(i, 1, 5);
-  calls.Until([&] { return calls.answers.size() == 5000; });
+  ClientUnderTest test(counter.port(), 0.05);
+  for (int i = 0; i < 5000; ++i) test.client.Call(i, 1, 5);
+  test.Until([&] { return test.replies.size() == 5000; });
   EXPECT_LE(counter.calls.count(), 32 * 64);
   EXPECT_LE(counter.connections(), 32);
   silent = false;
-  uint64_t name = 10000;
-  calls.Until([&] {
-    if (calls.answers.back().result == policy::CallResult::kOk) return true;
-    calls.client.Call(++name, 1, 5);
-    size_t before = calls.answers.size();
-    calls.Until([&] { return calls.answers.size() > before; });
-    return calls.answers.back().result == policy::CallResult::kOk;
+  uint64_t key = 10000;
+  test.Until([&] {
+    if (test.replies.back().result == policy::CallResult::kOk) return true;
+    test.client.Call(++key, 1, 5);
+    size_t before = test.replies.size();
+    test.Until([&] { return test.replies.size() > before; });
+    return test.replies.back().result == policy::CallResult::kOk;
   });
 }
 
--- a/tests/net/gateway_configuration_test.cpp
+++ b/tests/net/gateway_configuration_test.cpp
@@ -28,10 +28,10 @@
   json config = Config(discovery.port(), counter.port());
   for (int i = 0; i < 3; ++i) site.gateway->Reload(config.dump());
   EXPECT_TRUE(discovery.asked.Wait()) << "at once";
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one") << "the list as last known";
+  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one") << "the last endpoint list";
   discovery.Silence(false);
   EXPECT_TRUE(discovery.Told());
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "two") << "the new agent's whole list";
+  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "two") << "the new agent's list";
   for (int i = 0; i < 100 && counter.calls.count() == 0; ++i) Ask(*client, Request("quote", 2));
   EXPECT_GT(counter.calls.count(), 0);
   site.gateway->Signal(SIGHUP);
--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -22,18 +22,18 @@
 TEST(GatewayConnections, ClosesClientsThatNeverCompleteARequest) {
   Backend backend(Says(Ok("x")));
   Site site(json::array({Entry("s1", backend.port())}));
-  auto kept = site.gateway->Connect();
-  EXPECT_EQ(Ask(*kept, Request("quote")).status(), 200);
-  std::vector<std::unique_ptr<Wire>> bad;
-  for (std::string text : {std::string(), std::string("\r\n\r\n"), Request("quote").substr(0, 60),
-                           Request("send-lead", 1, 3000, "Content-Length: 99\r\n") + "half"}) {
-    bad.push_back(site.gateway->Connect());
-    bad.back()->Write(text);
+  auto served = site.gateway->Connect();
+  EXPECT_EQ(Ask(*served, Request("quote")).status(), 200);
+  std::vector<std::unique_ptr<Wire>> incomplete;
+  for (const std::string& text : {std::string(), std::string("\r\n\r\n"), Request("quote").substr(0, 60),
+                                  Request("send-lead", 1, 3000, "Content-Length: 99\r\n") + "half"}) {
+    incomplete.push_back(site.gateway->Connect());
+    incomplete.back()->Write(text);
   }
-  kept->Write(Request("quote").substr(0, 60));
+  served->Write(Request("quote").substr(0, 60));
   auto begin = std::chrono::steady_clock::now();
-  for (auto& wire : bad) EXPECT_TRUE(wire->Ended());
-  EXPECT_TRUE(kept->Ended());
+  for (auto& wire : incomplete) EXPECT_TRUE(wire->Ended());
+  EXPECT_TRUE(served->Ended());
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(kLimitS / 2))
       << "by its own doing";
 }
@@ -159,17 +159,18 @@
   Backend backend(Says(Ok("x")));
   json config = Config(0, 0);
   config["limits"]["sockets"] = 64;
-  for (rlim_t limit : {64, 16}) {  // within its budget, and with less than that
+  for (rlim_t limit : {64, 16}) {  // within the configured limit, and below it
     Site site(json::array({Entry("s1", backend.port())}), config, API_GATEWAY, limit);
     std::vector<std::unique_ptr<Wire>> idle;
-    for (int i = 0; i < 60; ++i) idle.push_back(site.gateway->Connect());
+    while (idle.size() < 60) idle.push_back(site.gateway->Connect());
     auto client = site.gateway->Connect();
     if (limit < 64) idle.clear();
     EXPECT_NE(Ask(*client, Request("quote")).status(), 0);
     idle.clear();
     int status = 0;
-    for (int i = 0; i < 100 && status != 200; ++i)
+    for (int i = 0; i < 100 && status != 200; ++i) {
       status = Ask(*site.gateway->Connect(), Request("quote")).status();
+    }
     EXPECT_EQ(status, 200);
   }
 }
--- a/tests/net/gateway_discovery_test.cpp
+++ b/tests/net/gateway_discovery_test.cpp
@@ -18,39 +18,39 @@
   Backend one(Says(Ok("one"))), two(Says(Ok("two")));
   Site site(json::array({Entry("a", one.port())}));
   auto client = site.gateway->Connect();
-  auto told = [&] {
+  auto next_body = [&] {
     EXPECT_TRUE(site.discovery.Told());
     return Ask(*client, Request("quote")).body;
   };
-  EXPECT_EQ(told(), "one");
+  EXPECT_EQ(next_body(), "one");
   site.discovery.Set(json::array({Entry("b", two.port())}));
-  EXPECT_EQ(told(), "two") << "what a whole list does not name is gone";
+  EXPECT_EQ(next_body(), "two") << "what a full list does not name is removed";
   site.discovery.Set(json::array({Entry("b", one.port())}));
-  EXPECT_EQ(told(), "one") << "an address may change";
+  EXPECT_EQ(next_body(), "one") << "an address may change";
   site.discovery.Set(json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}), false,
                      json::array({Entry("a", two.port()), Entry("b", one.port(), "leaving")}));
-  EXPECT_EQ(told(), "two") << "nothing new to one that leaves";
+  EXPECT_EQ(next_body(), "two") << "a draining backend gets nothing new";
   site.discovery.Set(json::array({Entry("a", two.port())}), true, {}, "no list");
-  EXPECT_EQ(told(), "two") << "garbage changes nothing, and is asked for again";
+  EXPECT_EQ(next_body(), "two") << "garbage changes nothing, and the list is polled again";
 }
 
 // The connection to the agent hangs: a watch is open and never answered. What the agent has counts as
 // notified all the same, so the watch has to be given up and renewed well before that costs a drain's grace.
 TEST(GatewayDiscovery, RenewsAWatchThatGoesSilent) {
   Backend one(Says(Ok("one"))), two(Says(Ok("two")));
-  std::atomic<int> asked{0}, wait_ms{0};
+  std::atomic<int> polls{0}, wait_ms{0};
   Event renewed;
   Counter counter([](const std::string&, double) { return Bulk("0"); });
   Server agent([&](Wire& wire) {
-    for (Message ask = wire.Read(); ask.whole; ask = wire.Read()) {
-      size_t wait = ask.head.find("wait_ms=");
-      int turn = ++asked;
-      if (turn == 2 && wait != std::string::npos) wait_ms = std::atoi(ask.head.c_str() + wait + 8);
-      if (turn == 2) return void(wire.Ended());  // the first watch is never answered
-      if (turn > 3) renewed.Add();
-      json entries = json::array({turn == 1 ? Entry("a", one.port()) : Entry("b", two.port())});
-      wire.Write(Ok(json{{"index", turn}, {"snapshot", true}, {"endpoints", entries}}.dump()));
-      if (turn > 3) return void(wire.Ended());
+    for (Message request = wire.Read(); request.whole; request = wire.Read()) {
+      size_t wait = request.head.find("wait_ms=");
+      int poll = ++polls;
+      if (poll == 2 && wait != std::string::npos) wait_ms = std::atoi(request.head.c_str() + wait + 8);
+      if (poll == 2) return void(wire.Ended());  // the first watch is never answered
+      if (poll > 3) renewed.Add();
+      json entries = json::array({poll == 1 ? Entry("a", one.port()) : Entry("b", two.port())});
+      wire.Write(Ok(json{{"index", poll}, {"snapshot", true}, {"endpoints", entries}}.dump()));
+      if (poll > 3) return void(wire.Ended());
     }
   });
   Process gateway(Config(agent.port(), counter.port()));
@@ -71,7 +71,7 @@
   Process gateway(Config(discovery.port(), counter.port(), json::array({Entry("s1", backend.port())})));
   auto client = gateway.Connect();
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  for (int i = 0; i < 3000; ++i) {  // ready without discovery, once its first call has failed
+  for (int i = 0; i < 3000; ++i) {
     if (Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -13,15 +13,16 @@
 using namespace test_support;
 
 TEST(Gateway, ForwardsRequestsAndResponsesUnchangedAndReusesConnections) {
-  Backend backend(
-      [](const Message& m, Wire&) { return Ok("echo:" + m.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n"); });
+  Backend backend([](const Message& request, Wire&) {
+    return Ok("echo:" + request.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n");
+  });
   Site site(json::array({Entry("s1", backend.port())}));
   auto client = site.gateway->Connect();
   EXPECT_EQ(Ask(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-  Message answer = Ask(*client, Request("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
-  EXPECT_EQ(answer.status(), 200);
-  EXPECT_EQ(answer.body, "echo:the body");
-  EXPECT_EQ(answer.Header("X-Note"), "kept");
+  Message response = Ask(*client, Request("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
+  EXPECT_EQ(response.status(), 200);
+  EXPECT_EQ(response.body, "echo:the body");
+  EXPECT_EQ(response.Header("X-Note"), "kept");
   Message sent = backend.request(0);
   EXPECT_EQ(sent.head.substr(0, sent.head.find("\r\n")), "POST /send-lead?a=b%20c HTTP/1.1");
   EXPECT_EQ(sent.body, "the body");
@@ -32,7 +33,7 @@
   EXPECT_EQ(Ask(*client, Request("save-scenario", 1, 3000, "", "b")).status(), 200);
   EXPECT_FALSE(backend.request(1).Header("Idempotency-Key").empty());
   EXPECT_EQ(Ask(*client, Request("quote")).status(), 200);
-  // A connection rests for some milliseconds after an answer and is then used again.
+  // A connection takes no request for some milliseconds after a response, and then is used again.
   auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
   while (backend.connections() == backend.requests.count() && std::chrono::steady_clock::now() < limit) {
     EXPECT_NE(Ask(*client, Request("quote")).status(), 0);
@@ -44,15 +45,15 @@
 // take the second for a repeat of the first, and one client would get the other's response. The id is free
 // again once the first request is answered and none of its attempts is in flight.
 TEST(Gateway, RejectsARequestIdThatIsInFlight) {
-  Event go;
-  Backend backend([&](const Message& m, Wire&) { return go.Wait(), Ok(m.body); });
+  Event released;
+  Backend backend([&](const Message& request, Wire&) { return released.Wait(), Ok(request.body); });
   Site site(json::array({Entry("s1", backend.port())}));
   auto client = site.gateway->Connect(), other = site.gateway->Connect();
   std::string request = Request("send-lead", 1, 3000, "", "own");
   client->Write(request);
   EXPECT_TRUE(backend.requests.Wait());
   EXPECT_EQ(Ask(*other, request).status(), 400);
-  go.Add();
+  released.Add();
   EXPECT_EQ(client->Read().body, "own");
   EXPECT_EQ(Ask(*other, request).status(), 200);
   EXPECT_EQ(backend.requests.count(), 2);
@@ -84,16 +85,22 @@
 // or a hundred interim responses. Each has to fail the attempt as one that may have run, and none may cost
 // more memory than a good response.
 TEST(Gateway, SurvivesUnreadableResponsesWithinItsMemoryLimit) {
-  std::string many, lines(100000, 'h'), ok = "HTTP/1.1 200 OK\r\n";
-  for (int i = 0; i < 100; ++i) many += "HTTP/1.1 103 Early Hints\r\n\r\n";
-  for (std::string spoilt :
-       {ok + "Content-Length: 3000000000\r\n\r\nand more", ok + "X-Endless: " + lines, std::string(200, '\1'),
-        ok + "Content-Length: -4\r\n\r\nbody", ok + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody",
-        ok + "Content-Length: 4\r\nTransfer-Encoding: identity\r\n\r\nbody",
-        ok + "Content-Length: 4, 4\r\n\r\nbody", many + Ok("x")}) {
+  std::string ok = "HTTP/1.1 200 OK\r\n";
+  std::string endless(100000, 'h');
+  std::string interim;
+  for (int i = 0; i < 100; ++i) interim.append("HTTP/1.1 103 Early Hints\r\n\r\n");
+  std::vector<std::string> unreadable = {ok + "Content-Length: 3000000000\r\n\r\nand more",
+                                         ok + "X-Endless: " + endless,
+                                         std::string(200, '\1'),
+                                         ok + "Content-Length: -4\r\n\r\nbody",
+                                         ok + "Content-Length: 2\r\nContent-Length: 4\r\n\r\nbody",
+                                         ok + "Content-Length: 4\r\nTransfer-Encoding: identity\r\n\r\nbody",
+                                         ok + "Content-Length: 4, 4\r\n\r\nbody",
+                                         interim + Ok("x")};
+  for (const std::string& response : unreadable) {
     Event given_up;
     Backend backend([&](const Message&, Wire& wire) {
-      wire.Write(spoilt);
+      wire.Write(response);
       if (wire.Ended()) given_up.Add();
       return std::string();
     });
@@ -101,9 +108,9 @@
     config["limits"]["memory_mb"] = 32;
     Site site(json::array({Entry("s1", backend.port())}), config);
     auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead", 1, 1000)).status(), 502) << spoilt.substr(0, 99);
+    EXPECT_EQ(Ask(*client, Request("send-lead", 1, 1000)).status(), 502) << response.substr(0, 99);
     EXPECT_TRUE(given_up.Wait());
-    EXPECT_LT(site.gateway->peak_mb(), 32) << spoilt.substr(0, 99);
+    EXPECT_LT(site.gateway->peak_mb(), 32) << response.substr(0, 99);
   }
 }
 
@@ -111,7 +118,7 @@
   Backend full(Says("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
   Site site(json::array({Entry("s1", full.port())}));
   auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503) << "it never ran, so asking again is harmless";
+  EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503) << "it never ran, so a retry is harmless";
 }
 
 // One of two backends is down and refuses connections. A request that could not be sent has not run, so even
--- a/tests/net/request_parser_test.cpp
+++ b/tests/net/request_parser_test.cpp
@@ -124,8 +124,10 @@
   std::string hidden = Request("send-lead");
   std::string length = "Content-Length: " + std::to_string(hidden.size()) + "\r\n";
   for (const std::string& lines : AmbiguousFraming(length)) {
+    std::string request = OpenHead();
+    request.append(lines).append("\r\n").append(hidden);
     auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, OpenHead() + lines + "\r\n" + hidden).status(), 400) << lines;
+    EXPECT_EQ(Ask(*client, request).status(), 400) << lines;
     EXPECT_TRUE(client->Ended()) << lines;
   }
   EXPECT_EQ(backend.requests.count(), 0);
@@ -139,8 +141,10 @@
   std::string hidden = Request("send-lead");
   std::string big(64 * 1024 + 1, 'b');
   std::string chunked = OpenHead() + kTransferEncoding + "chunked\r\n\r\n";
-  for (std::string body : {"zz\r\n", "-1\r\n", "ffffffffffffffffff\r\n", "3\r\nabcd\r\n"}) {
-    EXPECT_EQ(Ask(*site.gateway->Connect(), chunked + body + hidden).status(), 400) << body;
+  for (const char* body : {"zz\r\n", "-1\r\n", "ffffffffffffffffff\r\n", "3\r\nabcd\r\n"}) {
+    std::string request = chunked;
+    request.append(body).append(hidden);
+    EXPECT_EQ(Ask(*site.gateway->Connect(), request).status(), 400) << body;
   }
   EXPECT_EQ(Ask(*site.gateway->Connect(), chunked + "fffff\r\n").status(), 413);
   std::string announced = OpenHead() + "Content-Length: 62914560\r\n\r\n";
--- a/tests/support/unresponsive_policy.cpp
+++ b/tests/support/unresponsive_policy.cpp
@@ -1,23 +1,24 @@
-// A module that never answers, linked in the real one's place: what the gateway's guard is for. Keyed
-// requests are sent to the backend listed last, once.
+// A policy that never answers a request, linked in place of the real one: the fault that the gateway's own
+// deadline guards against. Requests with an idempotency key are forwarded once, to the backend listed last.
 #include "policy/admission_policy.h"
 
 namespace gateway::policy {
 
 class AdmissionPolicy::Impl {
  public:
-  uint32_t backend = 0;
+  uint32_t backend_id = 0;
 };
 AdmissionPolicy::AdmissionPolicy(const Settings&, uint64_t, double, Actions*)
     : impl_(std::make_unique<Impl>()) {}
 AdmissionPolicy::~AdmissionPolicy() = default;
-void AdmissionPolicy::OnEndpointUpdate(double, EndpointUpdateKind, const std::vector<Endpoint>& entries,
+void AdmissionPolicy::OnEndpointUpdate(double, EndpointUpdateKind, const std::vector<Endpoint>& endpoints,
                                        Actions*) {
-  if (!entries.empty()) impl_->backend = entries.back().id;
+  if (!endpoints.empty()) impl_->backend_id = endpoints.back().id;
 }
-void AdmissionPolicy::OnRequest(double, const Request& r, Actions* out) {
-  if (r.request_class != 1) return;
-  out->push_back(ForwardAttempt{r.id, impl_->backend, 0});
+void AdmissionPolicy::OnRequest(double, const Request& request, Actions* actions) {
+  constexpr int kClassWithIdempotencyKey = 1;  // in the fixture's settings
+  if (request.request_class != kClassWithIdempotencyKey) return;
+  actions->push_back(ForwardAttempt{request.id, impl_->backend_id, 0});
 }
 void AdmissionPolicy::OnResponseStarted(double, uint32_t, Actions*) {}
 void AdmissionPolicy::OnAttemptOutcome(double, const AttemptOutcome&, Actions*) {}
