--- a/tests/config/settings_parser_test.cpp
+++ b/tests/config/settings_parser_test.cpp
@@ -26,7 +26,8 @@
          "tiers-of-service.0.value-factor=0.72\ntiers-of-service.0.parallel=2\n";
 }
 
-std::string SettingsWrong(const std::string& text) {
+// The message of the error; empty where the text is sound.
+std::string ErrorOf(const std::string& text) {
   try {
     ParseSettings(text);
   } catch (const ConfigError& error) {
@@ -48,15 +49,16 @@
 // that an operator finds it; none may be replaced by a default.
 TEST(SettingsParser, NamesEachMissingOrUnreadableKey) {
   std::string good = GoodSettings();
-  size_t at = 0;
-  while (at < good.size()) {
-    size_t end = good.find('\n', at) + 1;
-    std::string line = good.substr(at, end - at), key = line.substr(0, line.find('='));
-    std::string without = good.substr(0, at) + good.substr(end);
-    EXPECT_EQ(SettingsWrong(without), "setting is missing: " + key);
-    std::string spoilt = good.substr(0, at) + key + "=?\n" + good.substr(end);
-    EXPECT_EQ(SettingsWrong(spoilt), "setting is unreadable: " + key + "=?");
-    at = end;
+  size_t begin = 0;
+  while (begin < good.size()) {
+    size_t end = good.find('\n', begin) + 1;
+    std::string line = good.substr(begin, end - begin);
+    std::string key = line.substr(0, line.find('='));
+    std::string without = good.substr(0, begin) + good.substr(end);
+    EXPECT_EQ(ErrorOf(without), "setting is missing: " + key);
+    std::string unreadable = good.substr(0, begin) + key + "=?\n" + good.substr(end);
+    EXPECT_EQ(ErrorOf(unreadable), "setting is unreadable: " + key + "=?");
+    begin = end;
   }
 }
 
@@ -65,18 +67,21 @@
 // ends or a division by zero.
 TEST(SettingsParser, RejectsNumbersOutOfRange) {
   std::string good = GoodSettings();
-  for (std::string key :
+  auto expect_unreadable = [&](const std::string& key, const std::string& value) {
+    std::string line = key;
+    line.append("=").append(value);
+    EXPECT_EQ(ErrorOf(good + line), "setting is unreadable: " + line);
+  };
+  for (const char* key :
        {"resolution-s", "limits.connect-timeout-s", "invariants.warm-after-s", "peers-total",
         "request-classes.0.hard-limit-s", "tiers-of-service.0.units-per-s"}) {
-    for (std::string value : {"-1", "1e300", "inf", "nan"}) {
-      EXPECT_EQ(SettingsWrong(good + key + "=" + value), "setting is unreadable: " + key + "=" + value);
-    }
+    for (const char* value : {"-1", "1e300", "inf", "nan"}) expect_unreadable(key, value);
   }
-  for (std::string key : {"request-classes.count", "tiers-of-service.count", "request-classes.0.aim-s",
+  for (const char* key : {"request-classes.count", "tiers-of-service.count", "request-classes.0.aim-s",
                           "request-classes.0.hard-limit-s", "tiers-of-service.0.store-size"}) {
-    EXPECT_EQ(SettingsWrong(good + key + "=0"), "setting is unreadable: " + key + "=0");
+    expect_unreadable(key, "0");
   }
-  EXPECT_EQ(SettingsWrong(good + "tiers-of-service.0.units-per-s=0\ntiers-of-service.0.store-size=0"), "");
+  EXPECT_EQ(ErrorOf(good + "tiers-of-service.0.units-per-s=0\ntiers-of-service.0.store-size=0"), "");
 }
 
 }  // namespace
