--- a/tests/net/backend_connection_pool_test.cpp
+++ b/tests/net/backend_connection_pool_test.cpp
@@ -21,7 +21,7 @@
 using policy::CallResult;
 
 // A pool among backends of the test's own, in a loop that the test turns.
-struct PoolFixture : Loop {
+struct PoolFixture : EventLoop {
   explicit PoolFixture(double settle_s = 0) : pool(io, 30, 5, 0.5, 100, settle_s) {}
   uint64_t Send(uint32_t backend, const std::string& request) {
     return pool.Send(
@@ -38,22 +38,22 @@
 // go out late.
 TEST(BackendConnectionPool, CancelKnowsAWrittenRequestBeforeItsCallback) {
   std::string request(24 << 20, 'b');
-  Listener backend;
+  ManualListener backend;
   PoolFixture p;
-  p.pool.Update(1, At(backend.port()));
+  p.pool.Update(1, LoopbackEndpoint(backend.port()));
   uint64_t attempt = p.Send(1, request);
-  p.Until([&] { return backend.Waiting(); });
-  auto wire = backend.Take();
+  p.RunUntil([&] { return backend.HasPending(); });
+  auto connection = backend.Accept();
   size_t got = 0;
   bool complete = false;
   CancelResult cancelled = CancelResult::kAlreadyEnded;
   auto end = Clock::now() + std::chrono::seconds(kLimitS);
-  pollfd ready{wire->fd(), POLLIN, 0};
+  pollfd ready{connection->fd(), POLLIN, 0};
   while (!complete && Clock::now() < end) {
     // Everything is read before the loop takes its next step, so that one step may write the rest.
-    while (poll(&ready, 1, 5) > 0 && wire->More()) {
-      got += wire->unread.size();
-      wire->unread.clear();
+    while (poll(&ready, 1, 5) > 0 && connection->Receive()) {
+      got += connection->unread.size();
+      connection->unread.clear();
     }
     complete = got == request.size();
     if (complete) {
@@ -72,29 +72,29 @@
 // completely written may have run, so it goes on to its response.
 TEST(BackendConnectionPool, DropUnsentCancelsOnlyIncompletelyWrittenRequests) {
   std::string request(24 << 20, 'b');
-  Listener backend;
+  ManualListener backend;
   PoolFixture p;
-  p.pool.Update(1, At(backend.port()));
+  p.pool.Update(1, LoopbackEndpoint(backend.port()));
   uint64_t connecting = p.Send(1, "unsent");
   EXPECT_TRUE(p.pool.DropUnsent(connecting)) << "its connection is not up yet";
   EXPECT_FALSE(p.pool.DropUnsent(connecting));
   uint64_t partial = p.Send(1, request);
-  auto first = backend.Take(), second = backend.Take();
+  auto first = backend.Accept(), second = backend.Accept();
   pollfd ready{second->fd(), POLLIN, 0};
-  p.Until([&] { return poll(&ready, 1, 0) > 0; });
+  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
   EXPECT_TRUE(p.pool.DropUnsent(partial));
-  while (first->More() || second->More()) {
+  while (first->Receive() || second->Receive()) {
   }
   EXPECT_EQ(first->unread, "");
   EXPECT_GT(second->unread.size(), 0u);
   EXPECT_LT(second->unread.size(), request.size());
   uint64_t written = p.Send(1, "complete");
-  auto third = backend.Take();
+  auto third = backend.Accept();
   ready.fd = third->fd();
-  p.Until([&] { return poll(&ready, 1, 0) > 0; });
+  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
   EXPECT_FALSE(p.pool.DropUnsent(written)) << "the backend has all of it";
-  third->Write(Ok("x"));
-  p.Until([&] { return p.ends.size() == 1; });
+  third->Write(OkResponse("x"));
+  p.RunUntil([&] { return p.ends.size() == 1; });
   EXPECT_EQ(p.ends[0].result, CallResult::kOk);
 }
 
@@ -102,23 +102,23 @@
 // cancelled; or the connection is reset in place of a response. The request may have run in both cases,
 // whichever event is seen first.
 TEST(BackendConnectionPool, AnAttemptThatEndsAsItsResponseComesMayHaveRun) {
-  Listener backend;
+  ManualListener backend;
   PoolFixture p;
-  p.pool.Update(1, At(backend.port()));
+  p.pool.Update(1, LoopbackEndpoint(backend.port()));
   uint64_t attempt = p.Send(1, "request");
-  p.Until([&] { return backend.Waiting(); });
-  auto wire = backend.Take();
-  pollfd ready{wire->fd(), POLLIN, 0};
-  p.Until([&] { return poll(&ready, 1, 0) > 0; });
-  wire->Write(Ok("x"));  // unread when the attempt is cancelled
+  p.RunUntil([&] { return backend.HasPending(); });
+  auto connection = backend.Accept();
+  pollfd ready{connection->fd(), POLLIN, 0};
+  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
+  connection->Write(OkResponse("x"));  // unread when the attempt is cancelled
   EXPECT_EQ(p.pool.Cancel(attempt), CancelResult::kMayHaveRun);
   attempt = p.Send(1, "request");
-  p.Until([&] { return backend.Waiting(); });
-  wire = backend.Take();
-  ready.fd = wire->fd();
-  p.Until([&] { return poll(&ready, 1, 0) > 0; });
-  wire->Reset();
-  p.Until([&] { return p.ends.size() == 1; });
+  p.RunUntil([&] { return backend.HasPending(); });
+  connection = backend.Accept();
+  ready.fd = connection->fd();
+  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
+  connection->Reset();
+  p.RunUntil([&] { return p.ends.size() == 1; });
   EXPECT_EQ(p.ends[0].result, CallResult::kReset);
 }
 
@@ -128,24 +128,24 @@
 // the list was read.
 TEST(BackendConnectionPool, SendsNothingWhenTheEndpointListOvertakesTheConnect) {
   for (std::string change : {"drained long ago", "drained now", "gone", "moved"}) {
-    Listener backend;
+    ManualListener backend;
     PoolFixture p;
-    p.pool.Update(1, At(backend.port()));
+    p.pool.Update(1, LoopbackEndpoint(backend.port()));
     p.Send(1, "request");
     if (change == "drained long ago") p.pool.Drain(1, Clock::now() - std::chrono::seconds(5));
     if (change == "drained now") p.pool.Drain(1, Clock::now());
     if (change == "gone") p.pool.Remove(1);
-    if (change == "moved") p.pool.Update(1, At(DeadPort()));
+    if (change == "moved") p.pool.Update(1, LoopbackEndpoint(UnusedPort()));
     if (change == "drained now") {
-      p.Until([&] { return backend.Waiting(); });
-      auto wire = backend.Take();
-      pollfd ready{wire->fd(), POLLIN, 0};
-      p.Until([&] { return poll(&ready, 1, 0) > 0 || !p.ends.empty(); });
+      p.RunUntil([&] { return backend.HasPending(); });
+      auto connection = backend.Accept();
+      pollfd ready{connection->fd(), POLLIN, 0};
+      p.RunUntil([&] { return poll(&ready, 1, 0) > 0 || !p.ends.empty(); });
       continue;  // within its grace, or past it on a slow machine: either is right
     }
-    p.Until([&] { return p.ends.size() == 1; });
+    p.RunUntil([&] { return p.ends.size() == 1; });
     EXPECT_EQ(p.ends[0].result, CallResult::kConnectFailed) << change;
-    EXPECT_EQ(backend.All(), "") << change;
+    EXPECT_EQ(backend.ReceiveAll(), "") << change;
   }
 }
 
@@ -153,41 +153,41 @@
 // once the second one would pass for the response to the next request, perhaps another client's. The next
 // request goes out on another connection instead.
 TEST(BackendConnectionPool, SettlesAConnectionBeforeItsNextRequest) {
-  Listener backend;
+  ManualListener backend;
   PoolFixture p(1000);
-  p.pool.Update(1, At(backend.port()));
+  p.pool.Update(1, LoopbackEndpoint(backend.port()));
   p.Send(1, "one");
-  p.Until([&] { return backend.Waiting(); });
-  auto first = backend.Take();
-  first->Write(Ok("one"));
-  p.Until([&] { return p.ends.size() == 1; });
+  p.RunUntil([&] { return backend.HasPending(); });
+  auto first = backend.Accept();
+  first->Write(OkResponse("one"));
+  p.RunUntil([&] { return p.ends.size() == 1; });
   p.Send(1, "two");
-  first->Write(Ok("one again"));
-  p.Until([&] { return backend.Waiting(); });
-  ASSERT_TRUE(backend.Waiting());
-  auto second = backend.Take();
-  second->Write(Ok("two"));
-  p.Until([&] { return p.ends.size() == 2; });
+  first->Write(OkResponse("one again"));
+  p.RunUntil([&] { return backend.HasPending(); });
+  ASSERT_TRUE(backend.HasPending());
+  auto second = backend.Accept();
+  second->Write(OkResponse("two"));
+  p.RunUntil([&] { return p.ends.size() == 2; });
   EXPECT_EQ(p.ends[1].body, "two");
 }
 
 // A connection that has settled after its response carries the next request: three requests need one
 // connection.
 TEST(BackendConnectionPool, ReusesASettledConnection) {
-  Listener backend;
+  ManualListener backend;
   PoolFixture p(0);
-  p.pool.Update(1, At(backend.port()));
-  std::unique_ptr<Wire> wire;
+  p.pool.Update(1, LoopbackEndpoint(backend.port()));
+  std::unique_ptr<TestConnection> connection;
   for (size_t i = 1; i <= 3; ++i) {
     p.Send(1, "one");
-    if (wire == nullptr) {
-      p.Until([&] { return backend.Waiting(); });
-      wire = backend.Take();
+    if (connection == nullptr) {
+      p.RunUntil([&] { return backend.HasPending(); });
+      connection = backend.Accept();
     }
-    wire->Write(Ok("one"));
-    p.Until([&] { return p.ends.size() == i; });
+    connection->Write(OkResponse("one"));
+    p.RunUntil([&] { return p.ends.size() == i; });
   }
-  EXPECT_FALSE(backend.Waiting());
+  EXPECT_FALSE(backend.HasPending());
 }
 
 }  // namespace
--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -17,7 +17,7 @@
 using namespace test_support;
 
 // A server and its clients' connections, in a loop that the test turns.
-struct ClientServerFixture : Loop {
+struct ClientServerFixture : EventLoop {
   explicit ClientServerFixture(size_t max_connections = 100,
                                Clock::duration request_timeout = std::chrono::seconds(kLimitS))
       : server(
@@ -26,9 +26,9 @@
               requests.emplace_back(connection, std::move(request));
             },
             [this](uint64_t, bool request_pending) { clients_left += request_pending; }, request_timeout) {
-    server.Listen(At(0));
+    server.Listen(LoopbackEndpoint(0));
   }
-  std::unique_ptr<Wire> Connect() { return Wire::To(server.local().port()); }
+  std::unique_ptr<TestConnection> Connect() { return TestConnection::ConnectTo(server.local().port()); }
   void Reply(size_t request, std::string body) {
     Response response;
     response.status = 200;
@@ -52,10 +52,10 @@
   std::string request = Post("body");
   auto incomplete = s.Connect();
   incomplete->Write(request.substr(0, 20));
-  s.Until([&] { return s.server.incomplete() == 1; });
+  s.RunUntil([&] { return s.server.incomplete() == 1; });
   auto fresh = s.Connect();  // before the rest, so that it is accepted first
   incomplete->Write(request.substr(20));
-  s.Until([&] { return s.requests.size() == 1 || s.server.incomplete() == 0; });
+  s.RunUntil([&] { return s.requests.size() == 1 || s.server.incomplete() == 0; });
   ASSERT_EQ(s.requests.size(), 1u);
   s.Reply(0, "response");
   EXPECT_EQ(incomplete->Read().body, "response");
@@ -67,11 +67,11 @@
   ClientServerFixture s(2);
   auto incomplete = s.Connect();
   incomplete->Write(Post("body").substr(0, 20));
-  s.Until([&] { return s.server.incomplete() == 1; });
+  s.RunUntil([&] { return s.server.incomplete() == 1; });
   auto fresh = s.Connect();
   fresh->Write(Post("new"));
-  s.Until([&] { return s.requests.size() == 1; });
-  EXPECT_TRUE(incomplete->Ended());
+  s.RunUntil([&] { return s.requests.size() == 1; });
+  EXPECT_TRUE(incomplete->AwaitEnd());
 }
 
 // The event loop is late: the time for a request to be complete is over when its last bytes are there but not
@@ -80,12 +80,12 @@
   ClientServerFixture s(100, Clock::duration::zero());
   auto client = s.Connect();
   client->Write(Post(std::string(20000, 'b')));  // more than one read takes in
-  s.Until([&] { return s.requests.size() == 1 || !client->Open(); });
+  s.RunUntil([&] { return s.requests.size() == 1 || !client->IsOpen(); });
   ASSERT_EQ(s.requests.size(), 1u);
   EXPECT_EQ(s.requests[0].second.body().size(), 20000u);
   auto incomplete = s.Connect();
   incomplete->Write(Post("body").substr(0, 20));
-  s.Until([&] { return !incomplete->Open(); });
+  s.RunUntil([&] { return !incomplete->IsOpen(); });
 }
 
 // A client ends its sending while its response is written by half. That is no sign that it has left: it gets
@@ -94,14 +94,14 @@
   ClientServerFixture s;
   auto client = s.Connect();
   client->Write(Post("x"));
-  s.Until([&] { return s.requests.size() == 1; });
+  s.RunUntil([&] { return s.requests.size() == 1; });
   std::string body(24 << 20, 'b');
   s.Reply(0, body);
   client->EndSending();
   for (int i = 0; i < 10; ++i) s.io.poll_one();  // the end is seen while the response waits for the socket
   std::string got;
   std::thread reader([&] { got = client->Read().body; });
-  s.Until([&] { return s.server.HasNoConnections(); });
+  s.RunUntil([&] { return s.server.HasNoConnections(); });
   reader.join();
   EXPECT_EQ(got.size(), body.size());
 }
@@ -113,14 +113,14 @@
   auto client = s.Connect();
   std::string request = Post("one");
   client->Write(request.substr(0, 20));
-  s.Until([&] { return s.server.incomplete() == 1; });
+  s.RunUntil([&] { return s.server.incomplete() == 1; });
   client->Write(request.substr(20));
-  s.Until([&] { return s.requests.size() == 1; });
+  s.RunUntil([&] { return s.requests.size() == 1; });
   s.Reply(0, "first");
   EXPECT_EQ(client->Read().body, "first");
   for (int i = 0; i < 10; ++i) s.io.poll_one();
   client->Write(Post("two"));
-  s.Until([&] { return s.requests.size() == 2; });
+  s.RunUntil([&] { return s.requests.size() == 2; });
   EXPECT_EQ(s.requests.at(1).second.body(), "two");
 }
 
@@ -132,7 +132,7 @@
     ClientServerFixture s;
     auto client = s.Connect();
     client->Write(Post("in flight"));
-    s.Until([&] { return s.requests.size() == 1; });
+    s.RunUntil([&] { return s.requests.size() == 1; });
     client->Write(std::string(100000, 'p'));
     for (int i = 0; i < 100; ++i) s.io.poll_one();
     if (reset) {
@@ -140,7 +140,7 @@
     } else {
       client->Close();
     }
-    s.Until([&] { return s.clients_left == 1; });
+    s.RunUntil([&] { return s.clients_left == 1; });
   }
 }
 
@@ -151,12 +151,12 @@
   ClientServerFixture s(1);
   auto first = s.Connect();
   first->Write(Post("first"));
-  s.Until([&] { return s.requests.size() == 1; });
+  s.RunUntil([&] { return s.requests.size() == 1; });
   auto second = s.Connect();
   second->Write(Post("second"));
   for (int i = 0; i < 100; ++i) s.io.poll_one();
   s.Reply(0, "x");
-  s.Until([&] { return s.requests.size() == 2; });
+  s.RunUntil([&] { return s.requests.size() == 2; });
   EXPECT_EQ(first->Read().status(), 200);
   EXPECT_EQ(s.clients_left, 0);
 }
--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -15,12 +15,12 @@
 
 using namespace test_support;
 
-// A client and the replies that it has given. Its event loop runs within Until() only.
+// A client and the replies that it has given. Its event loop runs within RunUntil() only.
 struct ClientUnderTest {
   ClientUnderTest(int port, double timeout_s)
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
                [this](policy::CounterReply reply) { replies.push_back(reply); }) {}
-  void Until(const std::function<bool()>& done) {
+  void RunUntil(const std::function<bool()>& done) {
     auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(50));
     EXPECT_TRUE(done());
@@ -34,18 +34,18 @@
 // next call's reply it would give a wrong total, and shift every reply after it.
 TEST(CounterClient, MatchesLateRepliesToTheirOwnCalls) {
   Event released;
-  Counter counter([&](const std::string&, double amount) {
+  StubCounter counter([&](const std::string&, double amount) {
     if (amount == 1) released.Wait();
-    return Bulk(std::to_string(amount));
+    return BulkString(std::to_string(amount));
   });
   ClientUnderTest test(counter.port(), 0.5);
   test.client.Call(11, 1, 5);
-  test.Until([&] { return test.replies.size() == 1; });
+  test.RunUntil([&] { return test.replies.size() == 1; });
   EXPECT_EQ(test.replies[0].result, policy::CallResult::kTimeout) << "it may have been added";
   released.Add();
   for (int i = 0; i < 20; ++i) {
     test.client.Call(20 + i, 2 + i, 5);
-    test.Until([&] { return test.replies.size() == 2 + static_cast<size_t>(i); });
+    test.RunUntil([&] { return test.replies.size() == 2 + static_cast<size_t>(i); });
     if (test.replies.back().result != policy::CallResult::kOk) continue;
     EXPECT_EQ(test.replies.back().key, 20u + i);
     EXPECT_EQ(test.replies.back().total, 2.0 + i);
@@ -56,18 +56,18 @@
 // and new calls go to the new address at once.
 TEST(CounterClient, SwitchesAddressAndEndsCallsInFlight) {
   Event released;
-  Counter before([&](const std::string&, double) { return released.Wait(), Bulk("7"); });
-  Counter after([](const std::string&, double) { return Bulk("9"); });
+  StubCounter before([&](const std::string&, double) { return released.Wait(), BulkString("7"); });
+  StubCounter after([](const std::string&, double) { return BulkString("9"); });
   ClientUnderTest test(before.port(), 30);
   test.client.Call(1, 1, 5);
-  test.Until([&] { return before.calls.count() == 1; });
+  test.RunUntil([&] { return before.calls.count() == 1; });
   test.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
   test.client.Call(2, 1, 5);
-  test.Until([&] { return test.replies.size() == 1; });
+  test.RunUntil([&] { return test.replies.size() == 1; });
   EXPECT_EQ(test.replies[0].key, 2u);
   EXPECT_EQ(test.replies[0].total, 9);
   released.Add();
-  test.Until([&] { return test.replies.size() == 2; });
+  test.RunUntil([&] { return test.replies.size() == 2; });
   EXPECT_EQ(test.replies[1].key, 1u);
   EXPECT_EQ(test.replies[1].total, 7);
 }
@@ -75,21 +75,21 @@
 // Calls fail in three ways: rejected, never connected, and with a connection that ends after they were
 // written. Only the last may have been added; confused, an amount would be counted twice or never.
 TEST(CounterClient, DistinguishesNotAddedFromMaybeAdded) {
-  Counter busy([](const std::string&, double) { return std::string("-BUSY\r\n"); });
+  StubCounter busy([](const std::string&, double) { return std::string("-BUSY\r\n"); });
   ClientUnderTest rejected(busy.port(), 30);
   rejected.client.Call(1, 1, 5);
-  rejected.Until([&] { return rejected.replies.size() == 1; });
+  rejected.RunUntil([&] { return rejected.replies.size() == 1; });
   EXPECT_EQ(rejected.replies[0].result, policy::CallResult::kRejected);
 
-  ClientUnderTest refused(DeadPort(), 30);
+  ClientUnderTest refused(UnusedPort(), 30);
   for (int i = 0; i < 200; ++i) refused.client.Call(i, 1, 5);
-  refused.Until([&] { return refused.replies.size() == 200; });
+  refused.RunUntil([&] { return refused.replies.size() == 200; });
   for (const auto& reply : refused.replies) EXPECT_EQ(reply.result, policy::CallResult::kConnectFailed);
 
-  Counter broken([](const std::string&, double) { return std::string("?\r\n"); });
+  StubCounter broken([](const std::string&, double) { return std::string("?\r\n"); });
   ClientUnderTest broke(broken.port(), 30);
   broke.client.Call(1, 1, 5);
-  broke.Until([&] { return broke.replies.size() == 1; });
+  broke.RunUntil([&] { return broke.replies.size() == 1; });
   EXPECT_EQ(broke.replies[0].result, policy::CallResult::kTimeout);
 }
 
@@ -97,11 +97,12 @@
 // else is lost, and the next call goes out at once on another connection, without a backoff.
 TEST(CounterClient, CallsAgainAtOnceAfterAnInvalidReply) {
   std::atomic<int> seen{0};
-  Counter counter([&](const std::string&, double) { return seen++ % 2 == 0 ? "$x\r\n" : Bulk("3"); });
+  StubCounter counter(
+      [&](const std::string&, double) { return seen++ % 2 == 0 ? "$x\r\n" : BulkString("3"); });
   ClientUnderTest test(counter.port(), 30);
   for (size_t i = 0; i < 40; ++i) {
     test.client.Call(i, 1, 5);
-    test.Until([&] { return test.replies.size() == i + 1; });
+    test.RunUntil([&] { return test.replies.size() == i + 1; });
     EXPECT_EQ(test.replies[i].result, i % 2 == 0 ? policy::CallResult::kTimeout : policy::CallResult::kOk)
         << i;
   }
@@ -111,19 +112,19 @@
 // the counter is back the client reaches it on new connections.
 TEST(CounterClient, BoundsCallsInFlightAndReconnectsAfterSilence) {
   std::atomic<bool> silent{true};
-  Counter counter([&](const std::string&, double) { return silent ? std::string() : Bulk("5"); });
+  StubCounter counter([&](const std::string&, double) { return silent ? std::string() : BulkString("5"); });
   ClientUnderTest test(counter.port(), 0.05);
   for (int i = 0; i < 5000; ++i) test.client.Call(i, 1, 5);
-  test.Until([&] { return test.replies.size() == 5000; });
+  test.RunUntil([&] { return test.replies.size() == 5000; });
   EXPECT_LE(counter.calls.count(), 32 * 64);
   EXPECT_LE(counter.connections(), 32);
   silent = false;
   uint64_t key = 10000;
-  test.Until([&] {
+  test.RunUntil([&] {
     if (test.replies.back().result == policy::CallResult::kOk) return true;
     test.client.Call(++key, 1, 5);
     size_t before = test.replies.size();
-    test.Until([&] { return test.replies.size() > before; });
+    test.RunUntil([&] { return test.replies.size() > before; });
     return test.replies.back().result == policy::CallResult::kOk;
   });
 }
--- a/tests/net/discovery_client_test.cpp
+++ b/tests/net/discovery_client_test.cpp
@@ -23,39 +23,39 @@
 using namespace test_support;
 
 // A client and its agent, which the test plays itself.
-struct DiscoveryFixture : Loop {
+struct DiscoveryFixture : EventLoop {
   explicit DiscoveryFixture(double drain_grace_s = 1) {
-    site.drain_grace_s = drain_grace_s;
-    site.connect_timeout_s = 0.25;
+    deployment.drain_grace_s = drain_grace_s;
+    deployment.connect_timeout_s = 0.25;
     client.emplace(
-        io, At(listener.port()), site, &ids, [this](EndpointList list) { lists.push_back(std::move(list)); },
-        [this] { ++failed; });
+        io, LoopbackEndpoint(listener.port()), deployment, &ids,
+        [this](EndpointList list) { lists.push_back(std::move(list)); }, [this] { ++failed; });
     client->Start();
-    Connected();
+    AcceptConnection();
   }
   // Accepts the client's next connection.
-  void Connected() {
-    Until([&] { return listener.Waiting(); });
-    wire = listener.Take();
+  void AcceptConnection() {
+    RunUntil([&] { return listener.HasPending(); });
+    connection = listener.Accept();
   }
   // The head of the client's next poll or watch.
-  std::string Ask() {
-    pollfd ready{wire->fd(), POLLIN, 0};
-    Until([&] { return poll(&ready, 1, 0) > 0; });
-    return wire->Read().head;
+  std::string ReceivePoll() {
+    pollfd ready{connection->fd(), POLLIN, 0};
+    RunUntil([&] { return poll(&ready, 1, 0) > 0; });
+    return connection->Read().head;
   }
   // Answers by a list of one endpoint, and waits until the client has taken or rejected it.
-  void Tell(int index, bool full, const std::string& status) {
+  void SendList(int index, bool full, const std::string& status) {
     size_t before = lists.size();
     int failures = failed;
-    wire->Write(
-        Ok(json{{"index", index}, {"snapshot", full}, {"endpoints", {Entry("a", 1, status)}}}.dump(2)));
-    Until([&] { return lists.size() > before || failed > failures; });
+    connection->Write(OkResponse(
+        json{{"index", index}, {"snapshot", full}, {"endpoints", {EndpointEntry("a", 1, status)}}}.dump(2)));
+    RunUntil([&] { return lists.size() > before || failed > failures; });
   }
-  config::DeploymentSettings site;
+  config::DeploymentSettings deployment;
   EndpointIds ids;
-  Listener listener;
-  std::unique_ptr<Wire> wire;
+  ManualListener listener;
+  std::unique_ptr<TestConnection> connection;
   std::vector<EndpointList> lists;  // that the client has taken
   int failed = 0;                   // exchanges
   std::optional<DiscoveryClient> client;
@@ -68,17 +68,17 @@
   auto start = Clock::now();
   DiscoveryFixture agent;
   auto begun = Clock::now();
-  agent.Ask();
-  agent.Tell(1, true, "active");
+  agent.ReceivePoll();
+  agent.SendList(1, true, "active");
   ASSERT_EQ(agent.lists.size(), 1u);
   EXPECT_GE(agent.lists[0].notified_at, start);
   EXPECT_LE(agent.lists[0].notified_at, begun) << "a new process counts as notified from its start";
   auto first_response = Clock::now();
-  EXPECT_NE(agent.Ask().find("after=1"), std::string::npos);
-  agent.wire->Reset();  // the watch breaks, and the list changes while none is open
-  agent.Connected();
-  agent.Ask();
-  agent.Tell(2, false, "leaving");
+  EXPECT_NE(agent.ReceivePoll().find("after=1"), std::string::npos);
+  agent.connection->Reset();  // the watch breaks, and the list changes while none is open
+  agent.AcceptConnection();
+  agent.ReceivePoll();
+  agent.SendList(2, false, "leaving");
   ASSERT_EQ(agent.lists.size(), 2u);
   EXPECT_LE(agent.lists[1].notified_at, first_response);
 }
@@ -88,17 +88,17 @@
 TEST(DiscoveryClient, PollsAgainWithinTheDrainGrace) {
   for (double drain_grace_s : {0.5, 1.0, 2.0}) {
     DiscoveryFixture agent(drain_grace_s);
-    agent.Ask();
-    agent.Tell(1, true, "active");
-    std::string watch = agent.Ask();
+    agent.ReceivePoll();
+    agent.SendList(1, true, "active");
+    std::string watch = agent.ReceivePoll();
     size_t at = watch.find("wait_ms=");
     ASSERT_NE(at, std::string::npos);
     int wait_ms = std::atoi(watch.c_str() + at + 8);
     EXPECT_GT(wait_ms, 0);
     EXPECT_LE(wait_ms, 1000 * std::max(0.25, drain_grace_s - 0.25) / 2);
-    auto silent = std::move(agent.wire);
-    agent.Connected();  // while the old watch stays open and silent
-    EXPECT_FALSE(agent.Ask().empty());
+    auto silent = std::move(agent.connection);
+    agent.AcceptConnection();  // while the old watch stays open and silent
+    EXPECT_FALSE(agent.ReceivePoll().empty());
   }
 }
 
@@ -106,16 +106,16 @@
 // known then. The full list is polled, and taken whatever its index.
 TEST(DiscoveryClient, RejectsAChangeOfAnOlderIndex) {
   DiscoveryFixture agent;
-  agent.Ask();
-  agent.Tell(7, true, "leaving");
-  agent.Ask();
-  agent.Tell(3, false, "active");
+  agent.ReceivePoll();
+  agent.SendList(7, true, "leaving");
+  agent.ReceivePoll();
+  agent.SendList(3, false, "active");
   EXPECT_EQ(agent.lists.size(), 1u);
-  agent.Connected();
-  EXPECT_EQ(agent.Ask().find("after="), std::string::npos);
-  agent.Tell(3, true, "active");
+  agent.AcceptConnection();
+  EXPECT_EQ(agent.ReceivePoll().find("after="), std::string::npos);
+  agent.SendList(3, true, "active");
   EXPECT_EQ(agent.lists.size(), 2u);
-  EXPECT_NE(agent.Ask().find("after=3"), std::string::npos);
+  EXPECT_NE(agent.ReceivePoll().find("after=3"), std::string::npos);
 }
 
 // The agent sends a byte every 10 ms and never the end of its response, to a poll or to a watch. It is never
@@ -124,26 +124,26 @@
 TEST(DiscoveryClient, TimesOutAResponseThatNeverEnds) {
   for (bool watch : {false, true}) {
     DiscoveryFixture agent(2.5);
-    agent.Ask();
+    agent.ReceivePoll();
     if (watch) {
-      agent.Tell(1, true, "active");
-      agent.Ask();
+      agent.SendList(1, true, "active");
+      agent.ReceivePoll();
     }
     std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"index\":2,";
     size_t at = 0;
     auto next = Clock::now();
-    agent.Until([&] {
+    agent.RunUntil([&] {
       if (Clock::now() >= next) {
-        agent.wire->Write(at < text.size() ? text.substr(at, 1) : " ");
+        agent.connection->Write(at < text.size() ? text.substr(at, 1) : " ");
         next = Clock::now() + std::chrono::milliseconds(10);
         ++at;
       }
-      return agent.failed > 0 && agent.listener.Waiting();
+      return agent.failed > 0 && agent.listener.HasPending();
     });
     EXPECT_EQ(agent.failed, 1) << watch;
-    agent.Connected();
-    agent.Ask();
-    agent.Tell(2, true, "leaving");
+    agent.AcceptConnection();
+    agent.ReceivePoll();
+    agent.SendList(2, true, "leaving");
     EXPECT_EQ(agent.lists.back().index, 2u) << watch;
   }
 }
@@ -152,30 +152,32 @@
 // it fails, the next one has to begin, and after some failures in a row the full list is polled.
 TEST(DiscoveryClient, PollsAgainHoweverAnExchangeFails) {
   std::vector<std::pair<std::string, std::function<void(DiscoveryFixture&)>>> ends = {
-      {"reset", [](DiscoveryFixture& a) { a.wire->Reset(); }},
+      {"reset", [](DiscoveryFixture& a) { a.connection->Reset(); }},
       {"half a response",
        [](DiscoveryFixture& a) {
-         a.wire->Write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"ind");
-         a.wire->EndSending();
+         a.connection->Write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"ind");
+         a.connection->EndSending();
        }},
-      {"silence after half", [](DiscoveryFixture& a) { a.wire->Write("HTTP/1.1 200 OK\r\nContent-Le"); }},
-      {"503", [](DiscoveryFixture& a) { a.wire->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); }},
-      {"noise", [](DiscoveryFixture& a) { a.wire->Write("*** \r\n\r\n"); }},
-      {"no list", [](DiscoveryFixture& a) { a.wire->Write(Ok("{}")); }}};
+      {"silence after half",
+       [](DiscoveryFixture& a) { a.connection->Write("HTTP/1.1 200 OK\r\nContent-Le"); }},
+      {"503",
+       [](DiscoveryFixture& a) { a.connection->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); }},
+      {"noise", [](DiscoveryFixture& a) { a.connection->Write("*** \r\n\r\n"); }},
+      {"no list", [](DiscoveryFixture& a) { a.connection->Write(OkResponse("{}")); }}};
   for (const auto& [how, end] : ends) {
     DiscoveryFixture agent(2.5);
-    agent.Ask();
-    agent.Tell(1, true, "active");
+    agent.ReceivePoll();
+    agent.SendList(1, true, "active");
     for (int i = 0; i < 4; ++i) {  // past the fallback to the full list
-      agent.Ask();
-      auto broken = std::move(agent.wire);
-      std::swap(agent.wire, broken);
+      agent.ReceivePoll();
+      auto broken = std::move(agent.connection);
+      std::swap(agent.connection, broken);
       end(agent);
-      broken = std::move(agent.wire);
-      agent.Connected();
+      broken = std::move(agent.connection);
+      agent.AcceptConnection();
     }
-    EXPECT_EQ(agent.Ask().find("after="), std::string::npos) << how;
-    agent.Tell(9, true, "leaving");
+    EXPECT_EQ(agent.ReceivePoll().find("after="), std::string::npos) << how;
+    agent.SendList(9, true, "leaving");
     EXPECT_EQ(agent.lists.back().index, 9u) << how;
   }
 }
@@ -184,17 +186,18 @@
 // gateway busy.
 TEST(DiscoveryClient, PausesBetweenWatchesWithNothingNew) {
   DiscoveryFixture agent(2.5);
-  agent.Ask();
-  agent.Tell(1, true, "active");
+  agent.ReceivePoll();
+  agent.SendList(1, true, "active");
   auto began = Clock::now();
   constexpr int kWatches = 10;
   for (int i = 0; i < kWatches; ++i) {
-    EXPECT_NE(agent.Ask().find("after=1"), std::string::npos);
+    EXPECT_NE(agent.ReceivePoll().find("after=1"), std::string::npos);
     bool full = i % 2 == 0;
     size_t before = agent.lists.size();
-    json entries = full ? json::array({Entry("a", 1)}) : json::array();
-    agent.wire->Write(Ok(json{{"index", 1}, {"snapshot", full}, {"endpoints", entries}}.dump()));
-    agent.Until([&] { return agent.lists.size() > before; });
+    json entries = full ? json::array({EndpointEntry("a", 1)}) : json::array();
+    agent.connection->Write(
+        OkResponse(json{{"index", 1}, {"snapshot", full}, {"endpoints", entries}}.dump()));
+    agent.RunUntil([&] { return agent.lists.size() > before; });
   }
   // A lower bound, which holds on a slow machine too.
   EXPECT_GE(Clock::now() - began, (kWatches - 1) * std::chrono::milliseconds(20));
@@ -204,23 +207,24 @@
 // a short grace allows. The allowed silence doubles with each failure, so that the list is read in the end.
 TEST(DiscoveryClient, ToleratesPausesAndInterimResponses) {
   DiscoveryFixture agent(0.5);  // silence is noticed after 75 ms
-  agent.Ask();
-  agent.Tell(1, true, "active");
-  std::string text = Ok(json{{"index", 2}, {"snapshot", true}, {"endpoints", {Entry("a", 1)}}}.dump());
+  agent.ReceivePoll();
+  agent.SendList(1, true, "active");
+  std::string text =
+      OkResponse(json{{"index", 2}, {"snapshot", true}, {"endpoints", {EndpointEntry("a", 1)}}}.dump());
   std::string interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
   // The third exchange at the latest: 300 ms are allowed by then.
   for (int i = 0; i < 6 && agent.lists.size() < 2; ++i) {
-    agent.Ask();
-    agent.wire->Write(interim + interim + text.substr(0, 40));
+    agent.ReceivePoll();
+    agent.connection->Write(interim + interim + text.substr(0, 40));
     auto resume = Clock::now() + std::chrono::milliseconds(150);
     int failed = agent.failed;
-    agent.Until([&] { return Clock::now() >= resume || agent.failed > failed; });
+    agent.RunUntil([&] { return Clock::now() >= resume || agent.failed > failed; });
     if (agent.failed > failed) {
-      agent.Connected();
+      agent.AcceptConnection();
       continue;
     }
-    agent.wire->Write(text.substr(40));
-    agent.Until([&] { return agent.lists.size() == 2 || agent.failed > failed; });
+    agent.connection->Write(text.substr(40));
+    agent.RunUntil([&] { return agent.lists.size() == 2 || agent.failed > failed; });
   }
   EXPECT_EQ(agent.lists.size(), 2u);
 }
@@ -229,20 +233,20 @@
 // has to poll it again until it gets the full list.
 TEST(DiscoveryClient, PollsAgainWhereTheNewAgentIsSilent) {
   DiscoveryFixture agent(2.5);
-  agent.Ask();
-  agent.Tell(1, true, "active");
-  agent.Ask();
-  Listener next;
-  agent.client->SwitchTo(At(next.port()));
-  std::vector<std::unique_ptr<Wire>> silent;
+  agent.ReceivePoll();
+  agent.SendList(1, true, "active");
+  agent.ReceivePoll();
+  ManualListener next;
+  agent.client->SwitchTo(LoopbackEndpoint(next.port()));
+  std::vector<std::unique_ptr<TestConnection>> silent;
   for (int i = 0; i < 3; ++i) {
-    agent.Until([&] { return next.Waiting(); });
-    silent.push_back(next.Take());
+    agent.RunUntil([&] { return next.HasPending(); });
+    silent.push_back(next.Accept());
   }
-  agent.Until([&] { return next.Waiting(); });
-  agent.wire = next.Take();
-  EXPECT_EQ(agent.Ask().find("after="), std::string::npos);
-  agent.Tell(5, true, "leaving");
+  agent.RunUntil([&] { return next.HasPending(); });
+  agent.connection = next.Accept();
+  EXPECT_EQ(agent.ReceivePoll().find("after="), std::string::npos);
+  agent.SendList(5, true, "leaving");
   EXPECT_EQ(agent.lists.back().index, 5u);
 }
 
--- a/tests/net/gateway_configuration_test.cpp
+++ b/tests/net/gateway_configuration_test.cpp
@@ -16,34 +16,34 @@
 // list serves until the new agent has given its own. Before that a reload meets a file that cannot be read,
 // which has to change nothing.
 TEST(GatewayConfiguration, SwitchesDiscoveryAndCounterOnSighup) {
-  Backend one(Says(Ok("one"))), two(Says(Ok("two")));
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
-  Discovery discovery;
-  discovery.Silence(true);
-  discovery.Set(json::array({Entry("s2", two.port())}));
-  Site site(json::array({Entry("s1", one.port())}));
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one");
-  site.gateway->Reload("{");
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one");
-  json config = Config(discovery.port(), counter.port());
-  for (int i = 0; i < 3; ++i) site.gateway->Reload(config.dump());
-  EXPECT_TRUE(discovery.asked.Wait()) << "at once";
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "one") << "the last endpoint list";
-  discovery.Silence(false);
-  EXPECT_TRUE(discovery.Told());
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).body, "two") << "the new agent's list";
-  for (int i = 0; i < 100 && counter.calls.count() == 0; ++i) Ask(*client, Request("quote", 2));
+  StubBackend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
+  StubCounter counter([](const std::string&, double) { return BulkString("0"); });
+  StubDiscovery discovery;
+  discovery.SetSilent(true);
+  discovery.Set(json::array({EndpointEntry("s2", two.port())}));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", one.port())}));
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "one");
+  fixture.gateway->Reload("{");
+  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "one");
+  json config = ConfigJson(discovery.port(), counter.port());
+  for (int i = 0; i < 3; ++i) fixture.gateway->Reload(config.dump());
+  EXPECT_TRUE(discovery.polls.Wait()) << "at once";
+  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "one") << "the last endpoint list";
+  discovery.SetSilent(false);
+  EXPECT_TRUE(discovery.AwaitApplied());
+  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "two") << "the new agent's list";
+  for (int i = 0; i < 100 && counter.calls.count() == 0; ++i) Exchange(*client, MakeRequest("quote", 2));
   EXPECT_GT(counter.calls.count(), 0);
-  site.gateway->Signal(SIGHUP);
-  site.gateway->Signal(SIGTERM);
-  EXPECT_EQ(site.gateway->Exit(), 0);
-  EXPECT_NE(site.gateway->rest.find("configuration_rejected"), std::string::npos);
+  fixture.gateway->Signal(SIGHUP);
+  fixture.gateway->Signal(SIGTERM);
+  EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+  EXPECT_NE(fixture.gateway->log.find("configuration_rejected"), std::string::npos);
 }
 
 // A setting is missing or unreadable. The gateway does not start, and its only log line names the setting.
 TEST(GatewayConfiguration, NamesAFaultySettingInOneLine) {
-  json missing = Config(1, 1), bad = Config(1, 1), list = Config(1, 1);
+  json missing = ConfigJson(1, 1), bad = ConfigJson(1, 1), list = ConfigJson(1, 1);
   missing["settings"]["invariants"].erase("cold-from");
   bad["listen"] = "nowhere";
   list["known"] = {{"index", "x"}};
@@ -52,10 +52,10 @@
                                                             {list.dump(), "known"},
                                                             {"{", "JSON"}};
   for (const auto& [text, word] : cases) {
-    Process gateway(text, API_GATEWAY, 0);
-    EXPECT_NE(gateway.Exit(), 0);
-    EXPECT_NE(gateway.line.find(word), std::string::npos) << gateway.line;
-    EXPECT_EQ(gateway.rest, "") << "one line";
+    GatewayProcess gateway(text, API_GATEWAY, 0);
+    EXPECT_NE(gateway.AwaitExit(), 0);
+    EXPECT_NE(gateway.first_line.find(word), std::string::npos) << gateway.first_line;
+    EXPECT_EQ(gateway.log, "") << "one line";
   }
 }
 
@@ -73,18 +73,18 @@
          c["known"] = {{"index", "x"}};
        }}};
   for (const auto& [word, change] : others) {
-    Backend backend(Says(Ok("x")));
-    Discovery foreign;
-    Site site(json::array({Entry("s1", backend.port())}));
-    json config = Config(foreign.port(), DeadPort());
+    StubBackend backend(RespondsWith(OkResponse("x")));
+    StubDiscovery foreign;
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    json config = ConfigJson(foreign.port(), UnusedPort());
     change(config);
-    site.gateway->Reload(config.dump());
-    EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
-    site.gateway->Signal(SIGTERM);
-    EXPECT_EQ(site.gateway->Exit(), 0);
-    EXPECT_EQ(foreign.asked.count(), 0) << word;
-    EXPECT_NE(site.gateway->rest.find("configuration_rejected"), std::string::npos) << word;
-    EXPECT_NE(site.gateway->rest.find(word), std::string::npos) << site.gateway->rest;
+    fixture.gateway->Reload(config.dump());
+    EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
+    fixture.gateway->Signal(SIGTERM);
+    EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+    EXPECT_EQ(foreign.polls.count(), 0) << word;
+    EXPECT_NE(fixture.gateway->log.find("configuration_rejected"), std::string::npos) << word;
+    EXPECT_NE(fixture.gateway->log.find(word), std::string::npos) << fixture.gateway->log;
   }
 }
 
--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -20,20 +20,20 @@
 // Clients connect and send nothing, only empty lines, half a head or half a body, and so does one whose first
 // request was served. Each would hold a descriptor for ever: the gateway has to close them itself.
 TEST(GatewayConnections, ClosesClientsThatNeverCompleteARequest) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto served = site.gateway->Connect();
-  EXPECT_EQ(Ask(*served, Request("quote")).status(), 200);
-  std::vector<std::unique_ptr<Wire>> incomplete;
-  for (const std::string& text : {std::string(), std::string("\r\n\r\n"), Request("quote").substr(0, 60),
-                                  Request("send-lead", 1, 3000, "Content-Length: 99\r\n") + "half"}) {
-    incomplete.push_back(site.gateway->Connect());
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto served = fixture.gateway->Connect();
+  EXPECT_EQ(Exchange(*served, MakeRequest("quote")).status(), 200);
+  std::vector<std::unique_ptr<TestConnection>> incomplete;
+  for (const std::string& text : {std::string(), std::string("\r\n\r\n"), MakeRequest("quote").substr(0, 60),
+                                  MakeRequest("send-lead", 1, 3000, "Content-Length: 99\r\n") + "half"}) {
+    incomplete.push_back(fixture.gateway->Connect());
     incomplete.back()->Write(text);
   }
-  served->Write(Request("quote").substr(0, 60));
+  served->Write(MakeRequest("quote").substr(0, 60));
   auto begin = std::chrono::steady_clock::now();
-  for (auto& wire : incomplete) EXPECT_TRUE(wire->Ended());
-  EXPECT_TRUE(served->Ended());
+  for (auto& connection : incomplete) EXPECT_TRUE(connection->AwaitEnd());
+  EXPECT_TRUE(served->AwaitEnd());
   EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(kLimitS / 2))
       << "by its own doing";
 }
@@ -41,43 +41,43 @@
 // More clients than there are descriptors send half a request and stop. A client with a complete request
 // still has to be served: incomplete ones are evicted as idle ones are.
 TEST(GatewayConnections, EvictsIncompleteRequestsForANewClient) {
-  Backend backend(Says(Ok("x")));
-  json config = Config(0, 0);
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  json config = ConfigJson(0, 0);
   config["limits"]["sockets"] = 64;
-  Site site(json::array({Entry("s1", backend.port())}), config);
-  std::vector<std::unique_ptr<Wire>> half;
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
+  std::vector<std::unique_ptr<TestConnection>> half;
   for (int i = 0; i < 80; ++i) {
-    half.push_back(site.gateway->Connect());
-    half.back()->Write(Request("quote").substr(0, 60));
+    half.push_back(fixture.gateway->Connect());
+    half.back()->Write(MakeRequest("quote").substr(0, 60));
   }
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
 }
 
 // 400 clients each send nearly all of a 64 KiB body and stop. The descriptors would do for them, the memory
 // would not: the memory limit bounds the number of clients too, and new ones are still served.
 TEST(GatewayConnections, BoundsClientsByTheMemoryLimit) {
-  json config = Config(0, 0);
+  json config = ConfigJson(0, 0);
   config["limits"]["memory_mb"] = 16;
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}), config);
-  std::string half = Request("send-lead", 1, 3000, "Content-Length: 65536\r\n") + std::string(65000, 'b');
-  std::vector<std::unique_ptr<Wire>> clients;
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
+  std::string half = MakeRequest("send-lead", 1, 3000, "Content-Length: 65536\r\n") + std::string(65000, 'b');
+  std::vector<std::unique_ptr<TestConnection>> clients;
   for (int i = 0; i < 400; ++i) {
-    clients.push_back(site.gateway->Connect());
+    clients.push_back(fixture.gateway->Connect());
     clients.back()->Write(half);
   }
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
-  EXPECT_LT(site.gateway->peak_mb(), 16);
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
+  EXPECT_LT(fixture.gateway->PeakResidentMb(), 16);
 }
 
 // A client sends two requests and a part of a third without waiting. Bytes that came ahead of a response
 // belong to the next request; lost or misplaced, they would break every request after them.
 TEST(GatewayConnections, ServesPipelinedRequestsInOrder) {
-  Backend backend([](const Message& m, Wire&) { return Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port())}));
-  auto client = site.gateway->Connect();
-  std::string third = Request("send-lead", 1, 3000, "", "three");
-  client->Write(Request("send-lead", 1, 3000, "", "one") + Request("send-lead", 1, 3000, "", "two") +
+  StubBackend backend([](const HttpMessage& m, TestConnection&) { return OkResponse(m.body); });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  std::string third = MakeRequest("send-lead", 1, 3000, "", "three");
+  client->Write(MakeRequest("send-lead", 1, 3000, "", "one") + MakeRequest("send-lead", 1, 3000, "", "two") +
                 third.substr(0, 40));
   EXPECT_EQ(client->Read().body, "one");
   EXPECT_EQ(client->Read().body, "two");
@@ -90,23 +90,23 @@
 TEST(GatewayConnections, ReusesNoStaleBackendConnection) {
   for (std::string after : {"close", "bytes", "header"}) {
     Event closed;
-    Backend backend([&](const Message&, Wire& wire) {
-      if (after == "header") return Ok("x", "Connection: close\r\n");
-      wire.Write(Ok("x") + (after == "bytes" ? "unasked" : ""));
+    StubBackend backend([&](const HttpMessage&, TestConnection& connection) {
+      if (after == "header") return OkResponse("x", "Connection: close\r\n");
+      connection.Write(OkResponse("x") + (after == "bytes" ? "unasked" : ""));
       if (after == "bytes") {
-        if (wire.Ended()) closed.Add();
+        if (connection.AwaitEnd()) closed.Add();
       }
       return std::string();
     });
-    Site site(json::array({Entry("s1", backend.port())}));
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200) << after;
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << after;
     if (after == "bytes") {
       EXPECT_TRUE(closed.Wait());
     }
     // The end may cross the next request; from the one after it on the connection is known to be over.
-    if (after == "close") Ask(*client, Request("quote"));
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 200) << after;
+    if (after == "close") Exchange(*client, MakeRequest("quote"));
+    EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << after;
   }
 }
 
@@ -114,15 +114,15 @@
 // that may have run, so the gateway has to close its idle connections first.
 TEST(GatewayConnections, ClosesIdleBackendConnectionsBeforeTheirIdleLimit) {
   Event closed;
-  Backend backend([&](const Message&, Wire& wire) {
-    wire.Write(Ok("x"));
-    if (wire.Ended()) closed.Add();
+  StubBackend backend([&](const HttpMessage&, TestConnection& connection) {
+    connection.Write(OkResponse("x"));
+    if (connection.AwaitEnd()) closed.Add();
     return std::string();
   });
-  json config = Config(0, 0);
+  json config = ConfigJson(0, 0);
   config["settings"]["limits"]["conn-idle-s"] = 0.5;
-  Site site(json::array({Entry("s1", backend.port())}), config);
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).status(), 200);
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
   EXPECT_TRUE(closed.Wait());
 }
 
@@ -130,23 +130,24 @@
 // No byte of the request may go out on it.
 TEST(GatewayConnections, SendsNothingOnABackendConnectionThatComesUpLate) {
   sockaddr_in at;
-  int fd = Loopback(&at, 0);
+  int fd = OpenLoopbackSocket(&at, 0);
   ASSERT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
   ASSERT_EQ(listen(fd, 0), 0);
   socklen_t size = sizeof(at);
   getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-  auto filler = Wire::To(ntohs(at.sin_port));  // takes the only place in the listener's queue
+  auto filler =
+      TestConnection::ConnectTo(ntohs(at.sin_port));  // takes the only place in the listener's queue
   {
-    Site site(json::array({Entry("s1", ntohs(at.sin_port))}));
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, Request("send-lead")).status(), 503);
+    GatewayFixture fixture(json::array({EndpointEntry("s1", ntohs(at.sin_port))}));
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 503);
   }
   // The gateway has ended, so all that it ever sent is here.
   pollfd ready{fd, POLLIN, 0};
   for (int i = 0; i < 20 && poll(&ready, 1, 0) > 0; ++i) {
-    Wire late(accept(fd, nullptr, nullptr));
+    TestConnection late(accept(fd, nullptr, nullptr));
     filler->Close();
-    late.More();
+    late.Receive();
     EXPECT_EQ(late.unread, "");
   }
   close(fd);
@@ -156,20 +157,20 @@
 // descriptors than that. Idle clients are evicted, further ones wait to be accepted, and once clients have
 // left requests are served again.
 TEST(GatewayConnections, SurvivesRunningOutOfDescriptors) {
-  Backend backend(Says(Ok("x")));
-  json config = Config(0, 0);
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  json config = ConfigJson(0, 0);
   config["limits"]["sockets"] = 64;
   for (rlim_t limit : {64, 16}) {  // within the configured limit, and below it
-    Site site(json::array({Entry("s1", backend.port())}), config, API_GATEWAY, limit);
-    std::vector<std::unique_ptr<Wire>> idle;
-    while (idle.size() < 60) idle.push_back(site.gateway->Connect());
-    auto client = site.gateway->Connect();
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config, API_GATEWAY, limit);
+    std::vector<std::unique_ptr<TestConnection>> idle;
+    while (idle.size() < 60) idle.push_back(fixture.gateway->Connect());
+    auto client = fixture.gateway->Connect();
     if (limit < 64) idle.clear();
-    EXPECT_NE(Ask(*client, Request("quote")).status(), 0);
+    EXPECT_NE(Exchange(*client, MakeRequest("quote")).status(), 0);
     idle.clear();
     int status = 0;
     for (int i = 0; i < 100 && status != 200; ++i) {
-      status = Ask(*site.gateway->Connect(), Request("quote")).status();
+      status = Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status();
     }
     EXPECT_EQ(status, 200);
   }
@@ -180,25 +181,28 @@
 // and to a backend that it did not know before; idle clients are evicted and new ones served.
 TEST(GatewayConnections, ReservesDescriptorsForItsOwnConnections) {
   constexpr rlim_t kDescriptors = 64;
-  Backend before(Says(Ok("before"))), after(Says(Ok("after")));
-  json config = Config(0, 0);
+  StubBackend before(RespondsWith(OkResponse("before"))), after(RespondsWith(OkResponse("after")));
+  json config = ConfigJson(0, 0);
   config["limits"]["sockets"] = kDescriptors;
-  Site site(json::array({Entry("s1", before.port())}), config, API_GATEWAY, kDescriptors);
-  site.discovery.Silence(true);
-  site.counter.Stop();
-  std::vector<std::unique_ptr<Wire>> idle;
-  for (int i = 0; i < 200; ++i) idle.push_back(site.gateway->Connect());
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).body, "before") << "a new client is served";
-  Counter counter([](const std::string&, double) { return Bulk("0"); });
-  Discovery discovery;
-  discovery.Set(json::array({Entry("s2", after.port())}));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", before.port())}), config, API_GATEWAY,
+                         kDescriptors);
+  fixture.discovery.SetSilent(true);
+  fixture.counter.Stop();
+  std::vector<std::unique_ptr<TestConnection>> idle;
+  for (int i = 0; i < 200; ++i) idle.push_back(fixture.gateway->Connect());
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).body, "before")
+      << "a new client is served";
+  StubCounter counter([](const std::string&, double) { return BulkString("0"); });
+  StubDiscovery discovery;
+  discovery.Set(json::array({EndpointEntry("s2", after.port())}));
   config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
   config["counter"] = "127.0.0.1:" + std::to_string(counter.port());
-  site.gateway->Reload(config.dump());
-  EXPECT_TRUE(discovery.Told()) << "its connection to discovery comes up";
-  EXPECT_EQ(Ask(*site.gateway->Connect(), Request("quote")).body, "after") << "and one to a backend";
-  while (counter.calls.count() == 0) Ask(*site.gateway->Connect(), Request("quote", 2));
-  EXPECT_TRUE(idle.front()->Ended()) << "the one idle longest was evicted";
+  fixture.gateway->Reload(config.dump());
+  EXPECT_TRUE(discovery.AwaitApplied()) << "its connection to discovery comes up";
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).body, "after")
+      << "and one to a backend";
+  while (counter.calls.count() == 0) Exchange(*fixture.gateway->Connect(), MakeRequest("quote", 2));
+  EXPECT_TRUE(idle.front()->AwaitEnd()) << "the one idle longest was evicted";
 }
 
 }  // namespace
--- a/tests/net/gateway_counter_test.cpp
+++ b/tests/net/gateway_counter_test.cpp
@@ -15,14 +15,14 @@
 TEST(GatewayCounter, ServesWhileTheCounterFails) {
   for (std::string answer :
        {"", "-BUSY full\r\n", "-ERR no\r\n", "garbage\r\n", "$999999999\r\n", "$3\r\nabc\r\n"}) {
-    Backend backend(Says(Ok("x")));
-    Discovery discovery;
-    discovery.Set(json::array({Entry("s1", backend.port())}));
-    Counter counter([&](const std::string&, double) { return answer; });
-    Process gateway(Config(discovery.port(), counter.port()));
-    EXPECT_TRUE(discovery.Told());
+    StubBackend backend(RespondsWith(OkResponse("x")));
+    StubDiscovery discovery;
+    discovery.Set(json::array({EndpointEntry("s1", backend.port())}));
+    StubCounter counter([&](const std::string&, double) { return answer; });
+    GatewayProcess gateway(ConfigJson(discovery.port(), counter.port()));
+    EXPECT_TRUE(discovery.AwaitApplied());
     auto client = gateway.Connect();
-    for (int i = 0; i < 8; ++i) EXPECT_EQ(Ask(*client, Request("quote", 2)).status(), 200) << answer;
+    for (int i = 0; i < 8; ++i) EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).status(), 200) << answer;
     EXPECT_GT(counter.calls.count(), 0) << answer;
   }
 }
@@ -31,26 +31,26 @@
 // total has to count all the same; dropped, the tenant would go on beyond its quota.
 TEST(GatewayCounter, UsesATotalThatComesAfterItsTimeout) {
   Event answered;
-  Counter slow([&](const std::string&, double) {
+  StubCounter slow([&](const std::string&, double) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1500));
     answered.Add();
-    return Bulk("100000");
+    return BulkString("100000");
   });
-  Backend backend(Says(Ok("x")));
-  Discovery discovery;
-  discovery.Set(json::array({Entry("s1", backend.port())}));
-  json config = Config(discovery.port(), slow.port());
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  StubDiscovery discovery;
+  discovery.Set(json::array({EndpointEntry("s1", backend.port())}));
+  json config = ConfigJson(discovery.port(), slow.port());
   config["settings"]["specifics"]["counter-timeout-s"] = 1.0;
   config["settings"]["tiers-of-service"][0]["store-size"] = 12000;  // a window of 1,000 s
-  Process gateway(config);
-  EXPECT_TRUE(discovery.Told());
+  GatewayProcess gateway(config);
+  EXPECT_TRUE(discovery.AwaitApplied());
   auto client = gateway.Connect();
-  EXPECT_EQ(Ask(*client, Request("quote", 2)).status(), 200);
+  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).status(), 200);
   EXPECT_TRUE(answered.Wait());
   int status = 0;
   for (int i = 0; i < 40 && status != 429; ++i) {
     std::this_thread::sleep_for(std::chrono::milliseconds(25));
-    status = Ask(*client, Request("quote", 2)).status();
+    status = Exchange(*client, MakeRequest("quote", 2)).status();
   }
   EXPECT_EQ(status, 429) << "others have used all that there is";
 }
--- a/tests/net/request_parser_test.cpp
+++ b/tests/net/request_parser_test.cpp
@@ -21,7 +21,7 @@
 
 // Requests, and the status of the answer to each.
 std::vector<std::pair<std::string, int>> InvalidRequests() {
-  std::string good = Request("quote");
+  std::string good = MakeRequest("quote");
   std::string big(64 * 1024 + 1, 'b');
   std::string ready = "GET /-/ready HTTP/1.1\r\n";
   return {
@@ -32,7 +32,7 @@
       {Without(good, "Cookie"), 400},
       {Without(good, "Request-Timeout-Ms"), 400},
       {Without(good, "X-Call-Terms"), 400},
-      {Without(Request("save-scenario"), "Idempotency-Key"), 400},
+      {Without(MakeRequest("save-scenario"), "Idempotency-Key"), 400},
       {With(good, "business", "unheard-of"), 400},
       {With(good, "/quote", "/unheard-of"), 400},
       {With(good, "client=00000000b4d65521", "client=xyz"), 400},
@@ -56,7 +56,7 @@
       {std::string(100, '\n') + good, 400},
       {With(good, "GET", "POST"), 405},
       {"GET /-/other HTTP/1.1\r\nHost: x\r\n\r\n", 404},
-      {Request("send-lead", 1, 3000, "", big), 413},
+      {MakeRequest("send-lead", 1, 3000, "", big), 413},
       {ready + "X-Large: " + std::string(40000, 'h') + "\r\n\r\n", 431},
       {ready + "Content-Length: many\r\n\r\n", 400},
   };
@@ -66,24 +66,24 @@
 // and parts past their limits. One of them taken as valid could charge another tenant's quota, or count
 // without bound.
 TEST(RequestParser, RejectsInvalidRequestsAndGoesOn) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   for (const auto& [text, status] : InvalidRequests()) {
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, text).status(), status) << text.substr(0, 300);
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(Exchange(*client, text).status(), status) << text.substr(0, 300);
   }
   EXPECT_EQ(backend.requests.count(), 0);
-  std::string good = Request("quote");
-  auto client = site.gateway->Connect();
-  EXPECT_EQ(Ask(*client, Without(good, "X-Tier")).status(), 400);
-  EXPECT_EQ(Ask(*client, good).status(), 200) << "the framing was sound, so the connection goes on";
+  std::string good = MakeRequest("quote");
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(Exchange(*client, Without(good, "X-Tier")).status(), 400);
+  EXPECT_EQ(Exchange(*client, good).status(), 200) << "the framing was sound, so the connection goes on";
 }
 
 constexpr char kTransferEncoding[] = "Transfer-Encoding: ";
 
 // The request line and fields of a valid request, without the empty line that ends them.
 std::string OpenHead() {
-  std::string head = Request("send-lead");
+  std::string head = MakeRequest("send-lead");
   head.resize(head.size() - 2);
   return head;
 }
@@ -119,16 +119,16 @@
 // request is hidden in the bytes that they disagree on. Each gets an error and a close, and nothing of it is
 // forwarded.
 TEST(RequestParser, RejectsAmbiguousFramingAndCloses) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  std::string hidden = Request("send-lead");
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  std::string hidden = MakeRequest("send-lead");
   std::string length = "Content-Length: " + std::to_string(hidden.size()) + "\r\n";
   for (const std::string& lines : AmbiguousFraming(length)) {
     std::string request = OpenHead();
     request.append(lines).append("\r\n").append(hidden);
-    auto client = site.gateway->Connect();
-    EXPECT_EQ(Ask(*client, request).status(), 400) << lines;
-    EXPECT_TRUE(client->Ended()) << lines;
+    auto client = fixture.gateway->Connect();
+    EXPECT_EQ(Exchange(*client, request).status(), 400) << lines;
+    EXPECT_TRUE(client->AwaitEnd()) << lines;
   }
   EXPECT_EQ(backend.requests.count(), 0);
 }
@@ -136,19 +136,19 @@
 // Chunks whose size cannot be read or does not hold, with a second request behind them, and bodies past the
 // limit, chunked or announced.
 TEST(RequestParser, RejectsInvalidChunksAndBodiesPastTheLimit) {
-  Backend backend(Says(Ok("x")));
-  Site site(json::array({Entry("s1", backend.port())}));
-  std::string hidden = Request("send-lead");
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  std::string hidden = MakeRequest("send-lead");
   std::string big(64 * 1024 + 1, 'b');
   std::string chunked = OpenHead() + kTransferEncoding + "chunked\r\n\r\n";
   for (const char* body : {"zz\r\n", "-1\r\n", "ffffffffffffffffff\r\n", "3\r\nabcd\r\n"}) {
     std::string request = chunked;
     request.append(body).append(hidden);
-    EXPECT_EQ(Ask(*site.gateway->Connect(), request).status(), 400) << body;
+    EXPECT_EQ(Exchange(*fixture.gateway->Connect(), request).status(), 400) << body;
   }
-  EXPECT_EQ(Ask(*site.gateway->Connect(), chunked + "fffff\r\n").status(), 413);
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), chunked + "fffff\r\n").status(), 413);
   std::string announced = OpenHead() + "Content-Length: 62914560\r\n\r\n";
-  EXPECT_EQ(Ask(*site.gateway->Connect(), announced + big).status(), 413);
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), announced + big).status(), 413);
   EXPECT_EQ(backend.requests.count(), 0);
 }
 
--- a/tests/support/client_request.h
+++ b/tests/support/client_request.h
@@ -12,8 +12,8 @@
 
 // A request of class `cls`, which may be followed by a query, with an id of its own. `spread`: over how many
 // gateways its tenant's requests come; `more`: further field lines.
-inline std::string Request(const std::string& cls, int spread = 1, int timeout_ms = 3000,
-                           const std::string& more = "", const std::string& body = "") {
+inline std::string MakeRequest(const std::string& cls, int spread = 1, int timeout_ms = 3000,
+                               const std::string& more = "", const std::string& body = "") {
   static std::atomic<int> last{0};
   std::string id = std::to_string(1000 + ++last);
   std::string text =
@@ -27,9 +27,9 @@
 }
 
 // Sends a request and reads the response.
-inline Message Ask(Wire& wire, const std::string& request) {
-  wire.Write(request);
-  return wire.Read();
+inline HttpMessage Exchange(TestConnection& connection, const std::string& request) {
+  connection.Write(request);
+  return connection.Read();
 }
 
 }  // namespace gateway::test_support
--- a/tests/support/event_loop.h
+++ b/tests/support/event_loop.h
@@ -14,14 +14,14 @@
 namespace gateway::test_support {
 
 // A loopback port as an endpoint.
-inline boost::asio::ip::tcp::endpoint At(int port) {
+inline boost::asio::ip::tcp::endpoint LoopbackEndpoint(int port) {
   return {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)};
 }
 
 // An event loop that the test turns itself, one handler at a time.
-struct Loop {
+struct EventLoop {
   // Runs handlers until `done()` is true; fails the test where that takes longer than kLimitS.
-  void Until(const std::function<bool()>& done) {
+  void RunUntil(const std::function<bool()>& done) {
     auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
     while (!done() && std::chrono::steady_clock::now() < end) {
       io.restart();
--- a/tests/support/gateway_config_json.h
+++ b/tests/support/gateway_config_json.h
@@ -10,7 +10,7 @@
 using nlohmann::json;
 
 // The settings of a deployment with three request classes and two plans.
-inline json Settings() {
+inline json SettingsJson() {
   auto cls = [](const char* name, const char* effect, double aim, double limit) {
     return json{{"name", name},          {"effect", effect},     {"aim-s", aim},
                 {"hard-limit-s", limit}, {"window-s", 3.0},      {"importance", 1.0},
@@ -55,7 +55,7 @@
 
 // A gateway's configuration file, by the ports of its discovery and counter; `known` are the endpoints of its
 // cached list.
-inline json Config(int discovery, int counter, const json& known = {}) {
+inline json ConfigJson(int discovery, int counter, const json& known = {}) {
   auto at = [](int port) { return "127.0.0.1:" + std::to_string(port); };
   return {
       {"name", "n0"},
@@ -65,12 +65,12 @@
       {"seed", "8c1f30d27a5be964"},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
       {"known", {{"index", 0}, {"snapshot", true}, {"endpoints", known.is_array() ? known : json::array()}}},
-      {"settings", Settings()}};
+      {"settings", SettingsJson()}};
 }
 
 // The same without cancellation, and with such long limits that nothing ends by its time within a test.
-inline json NoCancel(int discovery, int counter) {
-  json config = Config(discovery, counter);
+inline json ConfigWithoutCancellation(int discovery, int counter) {
+  json config = ConfigJson(discovery, counter);
   config["settings"]["limits"]["cancel"] = false;
   config["settings"]["limits"]["connect-timeout-s"] = 20.0;
   config["settings"]["specifics"]["counter-timeout-s"] = 5.0;
--- a/tests/support/gateway_fixture.h
+++ b/tests/support/gateway_fixture.h
@@ -27,20 +27,20 @@
 using nlohmann::json;
 
 // A gateway process that has applied the given endpoint list, among a discovery and a counter that answer.
-struct Site {
-  explicit Site(const json& entries, json config = {}, const char* program = API_GATEWAY,
-                rlim_t descriptors = 0) {
+struct GatewayFixture {
+  explicit GatewayFixture(const json& entries, json config = {}, const char* program = API_GATEWAY,
+                          rlim_t descriptors = 0) {
     discovery.Set(entries);
-    if (!config.is_object()) config = Config(0, 0);
+    if (!config.is_object()) config = ConfigJson(0, 0);
     config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
     config["counter"] = "127.0.0.1:" + std::to_string(counter.port());
-    gateway = std::make_unique<Process>(config, program, descriptors);
-    EXPECT_NE(gateway->port, 0) << gateway->line;
-    EXPECT_TRUE(discovery.Told());
+    gateway = std::make_unique<GatewayProcess>(config, program, descriptors);
+    EXPECT_NE(gateway->port, 0) << gateway->first_line;
+    EXPECT_TRUE(discovery.AwaitApplied());
   }
-  Counter counter{[](const std::string&, double) { return Bulk("0"); }};
-  Discovery discovery;
-  std::unique_ptr<Process> gateway;
+  StubCounter counter{[](const std::string&, double) { return BulkString("0"); }};
+  StubDiscovery discovery;
+  std::unique_ptr<GatewayProcess> gateway;
 };
 
 }  // namespace gateway::test_support
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -23,12 +23,12 @@
 using nlohmann::json;
 
 // A gateway process on a free port. On destruction it gets SIGTERM and must exit with 0.
-class Process {
+class GatewayProcess {
  public:
   // `descriptors`: the limit on open files; 0 leaves it as it is. Returns when the first log line is there.
-  explicit Process(const json& config, const char* program = API_GATEWAY, rlim_t descriptors = 0)
-      : Process(config.dump(), program, descriptors) {}
-  Process(const std::string& config, const char* program, rlim_t descriptors) {
+  explicit GatewayProcess(const json& config, const char* program = API_GATEWAY, rlim_t descriptors = 0)
+      : GatewayProcess(config.dump(), program, descriptors) {}
+  GatewayProcess(const std::string& config, const char* program, rlim_t descriptors) {
     char path[] = "/tmp/api-gateway-test-XXXXXX";
     int file = mkstemp(path);
     EXPECT_GE(file, 0);
@@ -48,21 +48,21 @@
       _exit(127);
     }
     close(ends[1]);
-    err_ = ends[0];
+    log_fd_ = ends[0];
     char c;
-    while (read(err_, &c, 1) == 1 && c != '\n') line += c;
-    size_t colon = line.rfind(':');
-    if (line.rfind("gateway_listening ", 0) == 0) port = std::atoi(line.c_str() + colon + 1);
-    draining_ = std::thread([this] {  // its log must not fill the pipe
+    while (read(log_fd_, &c, 1) == 1 && c != '\n') first_line += c;
+    size_t colon = first_line.rfind(':');
+    if (first_line.rfind("gateway_listening ", 0) == 0) port = std::atoi(first_line.c_str() + colon + 1);
+    log_reader_ = std::thread([this] {  // the pipe must not fill up
       char part[4096];
       ssize_t n;
-      while ((n = read(err_, part, sizeof(part))) > 0) rest.append(part, static_cast<size_t>(n));
+      while ((n = read(log_fd_, part, sizeof(part))) > 0) log.append(part, static_cast<size_t>(n));
     });
   }
-  ~Process() {
+  ~GatewayProcess() {
     if (pid_ > 0) {
       Signal(SIGTERM);
-      EXPECT_EQ(Exit(), 0);
+      EXPECT_EQ(AwaitExit(), 0);
     }
     unlink(path_.c_str());
   }
@@ -75,16 +75,16 @@
     Signal(SIGHUP);
   }
   // Waits for the process to end. Its exit status, or the negative number of the signal that ended it.
-  int Exit() {
+  int AwaitExit() {
     int status = 0;
     waitpid(pid_, &status, 0);
     pid_ = -1;
-    draining_.join();
-    close(err_);
+    log_reader_.join();
+    close(log_fd_);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
   // The most memory that was resident so far, in MB. 0 under a sanitizer, whose own memory would count.
-  double peak_mb() const {
+  double PeakResidentMb() const {
 #ifdef __SANITIZE_ADDRESS__
     return 0;
 #endif
@@ -94,15 +94,15 @@
     }
     return 0;
   }
-  std::unique_ptr<Wire> Connect() const { return Wire::To(port); }
-  int port = 0;            // that it listens on; 0 where it did not start
-  std::string line, rest;  // the log: its first line, and after Exit the others
+  std::unique_ptr<TestConnection> Connect() const { return TestConnection::ConnectTo(port); }
+  int port = 0;                 // that it listens on; 0 where it did not start
+  std::string first_line, log;  // the first line of the log; after AwaitExit the others
 
  private:
   pid_t pid_ = -1;
-  int err_ = -1;
+  int log_fd_ = -1;
   std::string path_;
-  std::thread draining_;
+  std::thread log_reader_;
 };
 
 }  // namespace gateway::test_support
--- a/tests/support/http_message.h
+++ b/tests/support/http_message.h
@@ -9,10 +9,10 @@
 namespace gateway::test_support {
 
 // An HTTP/1.1 message with a Content-Length, as it came.
-struct Message {
+struct HttpMessage {
   std::string head;  // start line and fields, each ended by CRLF
   std::string body;
-  bool whole = false;  // false: the connection ended within it
+  bool complete = false;  // false: the connection ended within it
 
   // The value of a field, by its name in any case; empty where there is none.
   std::string Header(const std::string& name) const {
@@ -27,11 +27,11 @@
     return text;
   }
   // Of a response; 0 for one that is not whole.
-  int status() const { return whole && head.size() > 12 ? std::atoi(head.c_str() + 9) : 0; }
+  int status() const { return complete && head.size() > 12 ? std::atoi(head.c_str() + 9) : 0; }
 };
 
 // A 200 response; `headers` are further field lines, each ended by CRLF.
-inline std::string Ok(const std::string& body, const std::string& headers = "") {
+inline std::string OkResponse(const std::string& body, const std::string& headers = "") {
   return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
 }
--- a/tests/support/manual_listener.h
+++ b/tests/support/manual_listener.h
@@ -17,34 +17,36 @@
 
 // A listener on a free loopback port that accepts a connection only when the test says so. With `places` 0
 // its queue holds one connection, and further ones do not come up until that is taken.
-class Listener {
+class ManualListener {
  public:
-  explicit Listener(int places = 64) {
+  explicit ManualListener(int places = 64) {
     sockaddr_in at;
-    fd_ = Loopback(&at, 0);
+    fd_ = OpenLoopbackSocket(&at, 0);
     EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
     EXPECT_EQ(listen(fd_, places), 0);
     socklen_t size = sizeof(at);
     getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
     port_ = ntohs(at.sin_port);
   }
-  ~Listener() { close(fd_); }
+  ~ManualListener() { close(fd_); }
   int port() const { return port_; }
   // Accepts the first connection of the queue, and waits for it.
-  std::unique_ptr<Wire> Take() { return std::make_unique<Wire>(accept(fd_, nullptr, nullptr)); }
+  std::unique_ptr<TestConnection> Accept() {
+    return std::make_unique<TestConnection>(accept(fd_, nullptr, nullptr));
+  }
   // Whether a connection is in the queue.
-  bool Waiting() const {
+  bool HasPending() const {
     pollfd ready{fd_, POLLIN, 0};
     return poll(&ready, 1, 0) > 0;
   }
   // All bytes that have come on the connections in the queue, whose other sides must have ended or be ending.
-  std::string All() {
+  std::string ReceiveAll() {
     std::string all;
-    while (Waiting()) {
-      auto wire = Take();
-      while (wire->More()) {
+    while (HasPending()) {
+      auto connection = Accept();
+      while (connection->Receive()) {
       }
-      all += wire->unread;
+      all += connection->unread;
     }
     return all;
   }
--- a/tests/support/stub_backend.h
+++ b/tests/support/stub_backend.h
@@ -18,27 +18,27 @@
 
 // A backend that records its requests and answers each by `answer(request, connection)`, on the connection's
 // thread; an empty answer ends the connection.
-class Backend {
+class StubBackend {
  public:
-  using Response = std::function<std::string(const Message&, Wire&)>;
-  explicit Backend(Response answer)
-      : server_([this, answer = std::move(answer)](Wire& wire) {
+  using Response = std::function<std::string(const HttpMessage&, TestConnection&)>;
+  explicit StubBackend(Response answer)
+      : server_([this, answer = std::move(answer)](TestConnection& connection) {
           for (;;) {
-            Message request = wire.Read();
-            if (!request.whole) return;
+            HttpMessage request = connection.Read();
+            if (!request.complete) return;
             {
               std::lock_guard lock(mutex_);
               requests_.push_back(request);
             }
             requests.Add();
-            std::string text = answer(request, wire);
+            std::string text = answer(request, connection);
             if (text.empty()) return;
-            wire.Write(text);
+            connection.Write(text);
           }
         }) {}
   int port() const { return server_.port(); }
   int connections() const { return server_.connections; }
-  Message request(size_t i) {
+  HttpMessage request(size_t i) {
     std::lock_guard lock(mutex_);
     return requests_.at(i);
   }
@@ -46,18 +46,18 @@
 
  private:
   std::mutex mutex_;
-  std::vector<Message> requests_;
-  Server server_;
+  std::vector<HttpMessage> requests_;
+  StubServer server_;
 };
 
 // Answers every request by the same text.
-inline Backend::Response Says(const std::string& text) {
-  return [text](const Message&, Wire&) { return text; };
+inline StubBackend::Response RespondsWith(const std::string& text) {
+  return [text](const HttpMessage&, TestConnection&) { return text; };
 }
 // Answers nothing. Reports to `given_up` when the gateway has closed the attempt's connection.
-inline Backend::Response Hangs(Event* given_up) {
-  return [given_up](const Message&, Wire& wire) {
-    if (wire.Ended()) given_up->Add();
+inline StubBackend::Response NeverResponds(Event* given_up) {
+  return [given_up](const HttpMessage&, TestConnection& connection) {
+    if (connection.AwaitEnd()) given_up->Add();
     return std::string();
   };
 }
--- a/tests/support/stub_counter.h
+++ b/tests/support/stub_counter.h
@@ -18,12 +18,12 @@
 
 // The usage counter: answers one call after another by `answer(name, amount)`, on the connection's thread; an
 // empty text answers nothing.
-class Counter {
+class StubCounter {
  public:
   using Response = std::function<std::string(const std::string&, double)>;
-  explicit Counter(Response answer)
-      : answer_(std::move(answer)), server_([this](Wire& wire) {
-          while (AnswerCall(wire)) {
+  explicit StubCounter(Response answer)
+      : answer_(std::move(answer)), server_([this](TestConnection& connection) {
+          while (AnswerCall(connection)) {
           }
         }) {}
   int port() const { return server_.port(); }
@@ -33,42 +33,42 @@
 
  private:
   // False at the connection's end.
-  bool AnswerCall(Wire& wire) {
+  bool AnswerCall(TestConnection& connection) {
     std::vector<std::string> parts;
-    if (!ReadCall(wire, &parts)) return false;
+    if (!ReadCall(connection, &parts)) return false;
     EXPECT_EQ(parts.size(), 4u);
     EXPECT_LE(parts[1].size(), 64u);
     calls.Add();
-    wire.Write(answer_(parts[1], std::atof(parts[2].c_str())));
+    connection.Write(answer_(parts[1], std::atof(parts[2].c_str())));
     return true;
   }
   // A call is a RESP2 array of bulk strings.
-  static bool ReadCall(Wire& wire, std::vector<std::string>* parts) {
+  static bool ReadCall(TestConnection& connection, std::vector<std::string>* parts) {
     std::string first;
-    if (!Line(wire, &first)) return false;
+    if (!Line(connection, &first)) return false;
     for (int i = 0; i < std::atoi(first.c_str() + 1); ++i) {
       std::string size, part;
-      if (!Line(wire, &size) || !Line(wire, &part)) return false;
+      if (!Line(connection, &size) || !Line(connection, &part)) return false;
       EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), part.size());
       parts->push_back(part);
     }
     return true;
   }
-  static bool Line(Wire& wire, std::string* line) {
+  static bool Line(TestConnection& connection, std::string* line) {
     size_t end;
-    while ((end = wire.unread.find("\r\n")) == std::string::npos) {
-      if (!wire.More()) return false;
+    while ((end = connection.unread.find("\r\n")) == std::string::npos) {
+      if (!connection.Receive()) return false;
     }
-    *line = wire.unread.substr(0, end);
-    wire.unread.erase(0, end + 2);
+    *line = connection.unread.substr(0, end);
+    connection.unread.erase(0, end + 2);
     return true;
   }
   Response answer_;
-  Server server_;
+  StubServer server_;
 };
 
 // A reply with the text as a RESP2 bulk string.
-inline std::string Bulk(const std::string& text) {
+inline std::string BulkString(const std::string& text) {
   return "$" + std::to_string(text.size()) + "\r\n" + text + "\r\n";
 }
 
--- a/tests/support/stub_discovery.h
+++ b/tests/support/stub_discovery.h
@@ -20,7 +20,7 @@
 using nlohmann::json;
 
 // An endpoint as it stands in a list.
-inline json Entry(const std::string& name, int port, const std::string& status = "active") {
+inline json EndpointEntry(const std::string& name, int port, const std::string& status = "active") {
   return {{"name", name},  {"address", "127.0.0.1:" + std::to_string(port)},
           {"zone", "a"},   {"type", "std"},
           {"group", 0},    {"status", status},
@@ -29,17 +29,17 @@
 
 // Discovery's agent: answers a poll by the full endpoint list, and each watch when the list has changed
 // since.
-class Discovery {
+class StubDiscovery {
  public:
-  Discovery()
-      : server_([this](Wire& wire) {
+  StubDiscovery()
+      : server_([this](TestConnection& connection) {
           for (;;) {
-            Message ask = wire.Read();
-            if (!ask.whole) return;
+            HttpMessage ask = connection.Read();
+            if (!ask.complete) return;
             size_t at = ask.head.find("after=");
             long after = at == std::string::npos ? -1 : std::atol(ask.head.c_str() + at + 6);
             std::unique_lock lock(mutex_);
-            asked.Add();
+            polls.Add();
             if (after >= 0) watches_[after].Add();
             changed_.wait(lock, [&] { return stopping_ || (!silent_ && index_ > after); });
             if (stopping_) return;
@@ -48,10 +48,10 @@
                                     {"endpoints", after < 0 ? whole_ : entries_}}
                                    .dump();
             if (!garbage_.empty()) text = std::exchange(garbage_, "");
-            wire.Write(Ok(text));
+            connection.Write(OkResponse(text));
           }
         }) {}
-  ~Discovery() {
+  ~StubDiscovery() {
     {
       std::lock_guard lock(mutex_);
       stopping_ = true;
@@ -71,20 +71,20 @@
     changed_.notify_all();
   }
   // While silent, polls and watches get no answer.
-  void Silence(bool silent) {
+  void SetSilent(bool silent) {
     std::lock_guard lock(mutex_);
     silent_ = silent;
     changed_.notify_all();
   }
   // Waits until the gateway has applied the list as set last: it watches for what comes after that.
-  bool Told() {
+  bool AwaitApplied() {
     std::unique_lock lock(mutex_);
     Event& event = watches_[index_];
     lock.unlock();
     return event.Wait();
   }
   int port() const { return server_.port(); }
-  Event asked;  // polls and watches
+  Event polls;  // polls and watches
 
  private:
   std::mutex mutex_;
@@ -94,7 +94,7 @@
   json entries_ = json::array(), whole_ = json::array();
   std::string garbage_;
   std::map<long, Event> watches_;
-  Server server_;
+  StubServer server_;
 };
 
 }  // namespace gateway::test_support
--- a/tests/support/stub_server.h
+++ b/tests/support/stub_server.h
@@ -21,12 +21,12 @@
 
 // Accepts connections on a free loopback port and runs `handler` for each, on a thread of its own. The
 // connection ends when the handler returns.
-class Server {
+class StubServer {
  public:
-  using Handler = std::function<void(Wire&)>;
-  explicit Server(Handler handler) : handler_(std::move(handler)) {
+  using Handler = std::function<void(TestConnection&)>;
+  explicit StubServer(Handler handler) : handler_(std::move(handler)) {
     sockaddr_in at;
-    fd_ = Loopback(&at, 0);
+    fd_ = OpenLoopbackSocket(&at, 0);
     EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
     EXPECT_EQ(listen(fd_, 256), 0);
     socklen_t size = sizeof(at);
@@ -39,22 +39,22 @@
         std::lock_guard lock(mutex_);
         if (stopping_) return void(close(fd));
         ++connections;
-        wires_.push_back(std::make_unique<Wire>(fd));
-        threads_.emplace_back([this, wire = wires_.back().get()] {
-          handler_(*wire);
-          wire->Stop();
+        accepted_.push_back(std::make_unique<TestConnection>(fd));
+        threads_.emplace_back([this, connection = accepted_.back().get()] {
+          handler_(*connection);
+          connection->Stop();
         });
       }
     });
   }
-  ~Server() { Stop(); }
+  ~StubServer() { Stop(); }
   // Ends all connections and waits for their handlers.
   void Stop() {
     if (fd_ < 0) return;
     {
       std::lock_guard lock(mutex_);
       stopping_ = true;
-      for (auto& wire : wires_) wire->Stop();
+      for (auto& connection : accepted_) connection->Stop();
     }
     shutdown(fd_, SHUT_RDWR);
     accepting_.join();
@@ -70,14 +70,14 @@
   int fd_ = -1, port_ = 0;
   std::mutex mutex_;
   bool stopping_ = false;
-  std::vector<std::unique_ptr<Wire>> wires_;
+  std::vector<std::unique_ptr<TestConnection>> accepted_;
   std::vector<std::thread> threads_;
   std::thread accepting_;
 };
 
 // A port where nothing listens.
-inline int DeadPort() {
-  return Server([](Wire&) {}).port();
+inline int UnusedPort() {
+  return StubServer([](TestConnection&) {}).port();
 }
 
 }  // namespace gateway::test_support
--- a/tests/support/tcp_table.h
+++ b/tests/support/tcp_table.h
@@ -15,7 +15,7 @@
 namespace gateway::test_support {
 
 // Whether a connection to `port` is still to come up.
-inline bool Connecting(int port) {
+inline bool IsConnecting(int port) {
   std::ifstream table("/proc/net/tcp");
   char wanted[16];
   std::snprintf(wanted, sizeof(wanted), ":%04X 02 ", port);  // remote address, SYN sent
@@ -28,13 +28,13 @@
 // Waits until a connection to `port` is being opened, or until none is any more.
 inline void AwaitConnecting(int port, bool connecting = true) {
   auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
-  while (Connecting(port) != connecting && std::chrono::steady_clock::now() < limit) {
+  while (IsConnecting(port) != connecting && std::chrono::steady_clock::now() < limit) {
     std::this_thread::yield();
   }
 }
 
 // Whether bytes from a peer at `port` have come that their receiver has not read yet.
-inline bool Arrived(int port) {
+inline bool HasArrived(int port) {
   std::ifstream table("/proc/net/tcp");
   std::string line;
   std::getline(table, line);
@@ -52,7 +52,7 @@
 // Waits until unread bytes from one of the peers have come.
 inline void AwaitArrival(std::initializer_list<int> ports) {
   auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
-  while (std::none_of(ports.begin(), ports.end(), Arrived) && std::chrono::steady_clock::now() < limit) {
+  while (std::none_of(ports.begin(), ports.end(), HasArrived) && std::chrono::steady_clock::now() < limit) {
     std::this_thread::yield();
   }
 }
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -21,7 +21,7 @@
 namespace gateway::test_support {
 
 // Opens a TCP socket. `*at` becomes the loopback address with the port; 0 stands for any free port.
-inline int Loopback(sockaddr_in* at, int port) {
+inline int OpenLoopbackSocket(sockaddr_in* at, int port) {
   *at = {};
   at->sin_family = AF_INET;
   at->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -31,51 +31,51 @@
 
 // One end of a blocking TCP connection, of a client or of a server. A read that takes longer than kLimitS
 // fails as the connection's end would.
-class Wire {
+class TestConnection {
  public:
-  explicit Wire(int fd) : fd_(fd) {
+  explicit TestConnection(int fd) : fd_(fd) {
     timeval limit{kLimitS, 0};
     setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   }
-  ~Wire() { Close(); }
-  Wire(const Wire&) = delete;
-  Wire& operator=(const Wire&) = delete;
+  ~TestConnection() { Close(); }
+  TestConnection(const TestConnection&) = delete;
+  TestConnection& operator=(const TestConnection&) = delete;
   // Connects to a loopback port.
-  static std::unique_ptr<Wire> To(int port) {
+  static std::unique_ptr<TestConnection> ConnectTo(int port) {
     sockaddr_in at;
-    int fd = Loopback(&at, port);
+    int fd = OpenLoopbackSocket(&at, port);
     EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0) << std::strerror(errno);
-    return std::make_unique<Wire>(fd);
+    return std::make_unique<TestConnection>(fd);
   }
   void Write(const std::string& text) { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
   // Receives more bytes into `unread`. False at the connection's end.
-  bool More() {
+  bool Receive() {
     char part[65536];
     ssize_t n = recv(fd_, part, sizeof(part), 0);
     if (n > 0) unread.append(part, static_cast<size_t>(n));
     return n > 0;
   }
   // The next message. Not whole where the connection ends within it.
-  Message Read() {
-    Message m;
+  HttpMessage Read() {
+    HttpMessage m;
     size_t end;
     while ((end = unread.find("\r\n\r\n")) == std::string::npos) {
-      if (!More()) return m;
+      if (!Receive()) return m;
     }
     m.head = unread.substr(0, end + 2);
     size_t length = static_cast<size_t>(std::atol(m.Header("Content-Length").c_str()));
     while (unread.size() < end + 4 + length) {
-      if (!More()) return m;
+      if (!Receive()) return m;
     }
     m.body = unread.substr(end + 4, length);
     unread.erase(0, end + 4 + length);
-    m.whole = true;
+    m.complete = true;
     return m;
   }
   // Waits for the other side's end of the connection; true if nothing more came before it.
-  bool Ended() { return !More(); }
+  bool AwaitEnd() { return !Receive(); }
   // Whether the other side has not ended the connection, or has sent bytes before that.
-  bool Open() const {
+  bool IsOpen() const {
     char byte;
     ssize_t n = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n > 0 || (n < 0 && errno == EAGAIN);
