--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -1,6 +1,10 @@
 // A running gateway after SIGTERM.
+#include <poll.h>
+#include <sys/socket.h>
+
 #include <chrono>
 #include <csignal>
+#include <cstdlib>
 #include <memory>
 #include <string>
 #include <thread>
@@ -16,42 +20,119 @@
 // request on a connection that comes after the signal. Each response ends its connection, and the process
 // exits with 0.
 TEST(GracefulShutdown, FinishesRequestsInFlightAndServesLateArrivals) {
-  Event held, go;
-  Backend backend([&](const Message&, Wire&) {
-    held.Add();
-    go.Wait();
-    return Ok("x");
+  Event arrived, released;
+  StubBackend backend([&](const HttpMessage&, TestConnection&) {
+    arrived.Add();
+    released.Wait();
+    return OkResponse("x");
+  });
+  StubBackend other([&](const HttpMessage& request, TestConnection&) {
+    return arrived.Add(), released.Wait(), OkResponse(request.body);
   });
-  Backend other([&](const Message& m, Wire&) { return held.Add(), go.Wait(), Ok(m.body); });
-  Site site(json::array({Entry("s1", backend.port()), Entry("s2", other.port())}));
-  auto client = site.gateway->Connect(), later = site.gateway->Connect();
-  client->Write(Request("send-lead", 1, 3000));
-  EXPECT_TRUE(held.Wait());
-  std::string begun = Request("save-scenario");
+  GatewayFixture fixture(
+      json::array({EndpointEntry("s1", backend.port()), EndpointEntry("s2", other.port())}));
+  auto client = fixture.gateway->Connect(), later = fixture.gateway->Connect();
+  client->Write(MakeRequest("send-lead", 1, 3000));
+  EXPECT_TRUE(arrived.Wait());
+  std::string begun = MakeRequest("save-scenario");
   later->Write(begun.substr(0, 50));
-  site.gateway->Signal(SIGTERM);
-  auto probe = site.gateway->Connect();
-  for (int i = 0; i < 3000 && Ask(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200; ++i) {
+  fixture.gateway->Signal(SIGTERM);
+  auto probe = fixture.gateway->Connect();
+  for (int i = 0; i < 3000 && Exchange(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
+       ++i) {
   }
-  // A new connection, and one that was there before. Like a client, it asks again if the gateway's closing of
-  // idle connections has crossed its request.
+  // One on a new connection, one on a connection from before. Where the gateway's closing of idle connections
+  // crosses the request, it is sent once more on another, as clients do.
   later->Write(begun.substr(50));
-  EXPECT_TRUE(held.Wait(2));
-  std::unique_ptr<Wire> fresh;
-  for (int i = 0; i < 50 && held.count() < 3; ++i) {
-    fresh = site.gateway->Connect();
-    fresh->Write(Request("save-scenario"));
-    while (held.count() < 3 && fresh->Open()) std::this_thread::sleep_for(std::chrono::milliseconds(2));
+  EXPECT_TRUE(arrived.Wait(2));
+  std::unique_ptr<TestConnection> fresh;
+  for (int i = 0; i < 50 && arrived.count() < 3; ++i) {
+    fresh = fixture.gateway->Connect();
+    fresh->Write(MakeRequest("save-scenario"));
+    while (arrived.count() < 3 && fresh->IsOpen()) std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
   ASSERT_NE(fresh, nullptr);
-  go.Add();
-  for (Wire* wire : {client.get(), fresh.get(), later.get()}) {
-    Message answer = wire->Read();
-    EXPECT_EQ(answer.status(), 200);
-    EXPECT_EQ(answer.Header("Connection"), "close");
-    EXPECT_TRUE(wire->Ended());
+  released.Add();
+  for (TestConnection* connection : {client.get(), fresh.get(), later.get()}) {
+    HttpMessage response = connection->Read();
+    EXPECT_EQ(response.status(), 200);
+    EXPECT_EQ(response.Header("Connection"), "close");
+    EXPECT_TRUE(connection->AwaitEnd());
   }
-  EXPECT_EQ(site.gateway->Exit(), 0);
+  EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+}
+
+// The last part of a request comes late after SIGTERM, on a connection that stayed open, and its own time is
+// far longer than what is left until SIGKILL. It is forwarded with a shorter time-out and has its response
+// before that.
+TEST(GracefulShutdown, AnswersALateRequestBeforeSigkill) {
+  Event given_up;
+  StubBackend backend(NeverResponds(&given_up));
+  json config = ConfigJson(0, 0);
+  config["settings"]["request-classes"][2]["hard-limit-s"] = 50.0;
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
+  auto client = fixture.gateway->Connect();
+  std::string request = MakeRequest("send-lead", 1, 50000);
+  client->Write(request.substr(0, 50));
+  Exchange(*fixture.gateway->Connect(), "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+  auto idle = fixture.gateway->Connect();
+  fixture.gateway->Signal(SIGTERM);
+  EXPECT_TRUE(idle->AwaitEnd());  // from now on requests are only finished
+  client->Write(request.substr(50));
+  EXPECT_EQ(client->Read().status(), 502);
+  EXPECT_LE(std::atoi(backend.request(0).Header("Request-Timeout-Ms").c_str()), 3700);
+  EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+}
+
+// Requests are in the accept queue, or unread on an idle connection, when SIGTERM is seen or when the time to
+// go on accepting is over. The gateway must serve them: their clients cannot know that it is shutting down.
+// The process is stopped meanwhile, so that all of them are there when it looks.
+TEST(GracefulShutdown, ServesUnreadRequestsAtSigtermAndWhenAcceptingEnds) {
+  for (bool late : {false, true}) {
+    StubBackend backend(RespondsWith(OkResponse("x")));
+    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+    std::string ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+    auto kept = fixture.gateway->Connect();
+    EXPECT_EQ(Exchange(*kept, ready).status(), 200);
+    auto probe = fixture.gateway->Connect();
+    EXPECT_EQ(Exchange(*probe, ready).status(), 200);
+    if (late) {
+      fixture.gateway->Signal(SIGTERM);
+      while (Exchange(*probe, ready).status() == 200) {
+      }
+    }
+    fixture.gateway->Signal(SIGSTOP);
+    auto fresh = fixture.gateway->Connect();
+    kept->Write(MakeRequest("send-lead"));
+    fresh->Write(MakeRequest("send-lead"));
+    if (late) std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the time is over meanwhile
+    fixture.gateway->Signal(SIGTERM);
+    fixture.gateway->Signal(SIGCONT);
+    EXPECT_EQ(kept->Read().status(), 200) << late;
+    EXPECT_EQ(fresh->Read().status(), 200) << late;
+    EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+  }
+}
+
+// SIGTERM comes while a response is written by half, as its client reads nothing for a while. It gets the
+// rest before the process exits.
+TEST(GracefulShutdown, CompletesAResponseThatIsBeingWritten) {
+  std::string body(64 * 1024, 'b');
+  StubBackend backend(RespondsWith(OkResponse(body)));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  sockaddr_in at;
+  int fd = OpenLoopbackSocket(&at, fixture.gateway->port), tiny = 2048;
+  setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &tiny, sizeof(tiny));
+  ASSERT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+  TestConnection client(fd);
+  client.Write(MakeRequest("send-lead"));
+  pollfd ready{fd, POLLIN, 0};
+  EXPECT_GT(poll(&ready, 1, 1000 * kLimitS), 0);  // the response has begun
+  fixture.gateway->Signal(SIGTERM);
+  auto idle = fixture.gateway->Connect();
+  EXPECT_TRUE(idle->AwaitEnd());  // the time to go on accepting is over
+  EXPECT_EQ(client.Read().body.size(), body.size());
+  EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
 }
 
 }  // namespace
