--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -12,7 +12,7 @@
 constexpr char kPlansPath[] = "tiers-of-service";
 
 // Part of the settings' form and read by no code here. They are checked all the same, each at its place among
-// the others, so that settings cut off or spoilt on the way are rejected at the first bad key.
+// the others, so that settings cut off or damaged on the way are rejected at the first bad key.
 constexpr char kUnusedGatewayIndexKey[] = "me";
 constexpr char kUnusedCrossZonePriceKey[] = "prices.cross-zone";
 constexpr char kUnusedOverloadDurationKey[] = "invariants.tip-after-s";
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -34,11 +34,12 @@
                local.address().to_string().c_str(), local.port());
 }
 
-// A configuration that cannot be used changes nothing.
+// Of a new configuration only the addresses of discovery and counter are applied. One that cannot be used
+// changes nothing.
 void Reload(const std::string& file_name, net::Gateway* gateway) {
   try {
     gateway->Reload(config::LoadGatewayConfig(file_name));
-    std::fprintf(stderr, "configuration_reloaded\n");
+    std::fprintf(stderr, "configuration_reloaded applied=discovery,counter\n");
   } catch (const std::exception& error) {
     std::fprintf(stderr, "configuration_rejected error=\"%s\"\n", error.what());
   }
--- a/src/net/counter_client.h
+++ b/src/net/counter_client.h
@@ -34,7 +34,7 @@
   // Adds `amount` to the number of `key`, which lives for `expiry_s` where it is new.
   void Call(uint64_t key, double amount, double expiry_s);
 
-  // Further calls go to another address. Those in flight are still answered by the counter before.
+  // Further calls go to another address. Those in flight are still answered by the previous counter.
   void SwitchTo(const tcp::endpoint& address);
 
  private:
--- a/src/net/counter_connection.h
+++ b/src/net/counter_connection.h
@@ -41,7 +41,8 @@
     virtual void OnCallEnded(const std::shared_ptr<CounterCall>& call, policy::CallResult result,
                              double total) = 0;
     // The connection takes no further call; its calls end next. `unreachable`: nothing answers at the
-    // address. A counter that spoilt a reply or reset a connection can be called on another one at once.
+    // address. A counter that sent a malformed reply or reset a connection can be called on another one at
+    // once.
     virtual void OnConnectionClosed(CounterConnection* connection, bool unreachable) = 0;
 
    protected:
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -16,11 +16,13 @@
 
 namespace gateway::net {
 
-// The time parts of the client. What the agent has counts as notified to the gateway, also while no watch is
-// open, so that a draining backend's grace runs on while a watch hangs. The detection time is the part of
-// that grace in which a hanging watch has to be noticed; the fractions are of it. The agent is on the
-// gateway's machine and answers at once and at no cost, so neither a short silence nor a further call is
-// expensive.
+// The time parts of the client.
+//
+// A change counts as notified as soon as the agent has it, whether or not it reaches this gateway. So the
+// grace of a draining backend also runs while a watch hangs. The detection time is the part of that grace in
+// which a hanging watch has to be noticed: grace - connect timeout - margin, between the bounds below. The
+// fractions are of it. The agent is on the gateway's machine and answers at once, so short time-outs and more
+// calls cost little.
 struct DiscoveryClientOptions {
   double min_detection_time_s = 0.25;
   double max_detection_time_s = 2;   // for long graces
@@ -40,25 +42,27 @@
   double early_response_pause_s = 0.02;
 };
 
-// The longest from when the agent has a change, and may tell it, until it is taken in, in s: whatever
-// exchange is under way and however that ends. At worst that one was begun just before, and its response
-// trickles in and is old or cut off; the next, which does not wait, finds an index that goes back, also at a
-// trickle; the one after it asks for the full list.
+// The longest time, in s, from when the agent has a change and can be reached until the gateway has it. The
+// worst case is three exchanges, each of whose responses takes all of its time-out:
+// 1. a watch that began just before the change, and whose response is old or cut off;
+// 2. after a backoff, a poll that does not wait, and whose response has an index that goes back;
+// 3. after a backoff, a poll for the full list.
 constexpr double WorstNotificationTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
   double backoff_s = options.max_backoff_fraction * detection_time_s;
   return options.watch_wait_fraction * detection_time_s + options.response_timeout_s +
          2 * (backoff_s + options.response_timeout_s);
 }
 
-// The longest from SwitchTo() until the new agent's list is taken in, in s: no exchange is under way then,
-// and the first asks for the full list.
+// The longest time, in s, from SwitchTo() until the gateway has the new agent's list. No exchange is under
+// way then, and the first asks for the full list already: at worst it fails and is repeated.
 constexpr double WorstSwitchTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
   double backoff_s = options.max_backoff_fraction * detection_time_s;
   return options.response_timeout_s + backoff_s + options.response_timeout_s;
 }
 
-// A change counts as notified at the latest so long after discovery had it and could be reached, and after
-// SIGHUP (STANDING). The times above have to stay below these for every grace.
+// By then at the latest the gateway has to act on a change, counted from when discovery had it and could be
+// reached, and from SIGHUP (the operators' STANDING page). The times above have to stay below for every
+// grace.
 inline constexpr double kNotificationLimitS = 6;
 inline constexpr double kSwitchNotificationLimitS = 4;
 static_assert(WorstNotificationTimeS({}, DiscoveryClientOptions{}.max_detection_time_s) <
@@ -82,7 +86,8 @@
                   const config::DeploymentSettings& deployment, EndpointIds* ids, OnList on_list,
                   OnFailed on_failed, const DiscoveryClientOptions& options = {});
 
-  // Called again it does nothing: polling never stops.
+  // Begins to poll; never stops. Called again it does nothing, as by later PollDiscovery actions of the
+  // policy.
   void Start();
 
   // Polls the agent at another address for the full list, at once.
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-// Of a client's time, kept back for the way of the answer's last byte: the smaller of the two.
+// Part of a client's time that is kept back, so that the last byte of the answer arrives in time: the smaller
+// of the two.
 constexpr double kAnswerMarginS = 0.01;
 constexpr double kAnswerMarginFraction = 0.1;
 
@@ -114,9 +115,10 @@
 // Monotonic, and the same at every gateway as far as the machines' clocks agree when they start.
 double Gateway::PolicyNow() const { return clock_offset_s_ + ToSeconds(Clock::now().time_since_epoch()); }
 
-// Executes the actions after the policy has returned. No action calls the policy: what it brings about comes
-// as an event of its own. Guards against re-entry, which would run actions of an inner call before those of
-// the outer one.
+// Executes the actions after the policy has returned. No action calls the policy: what it causes comes as an
+// event of its own. Guards against re-entry, which would run actions of an inner call before those of the
+// outer one. The one exception is the start, where PollDiscovery may report a failure at once; nothing
+// follows it.
 template <typename Event>
 void Gateway::NotifyPolicy(Event event) {
   event(*policy_, PolicyNow(), &actions_);
