--- a/tests/net/backend_connection_pool_test.cpp
+++ b/tests/net/backend_connection_pool_test.cpp
@@ -67,6 +67,29 @@
   EXPECT_EQ(cancelled, CancelResult::kMayHaveRun) << "the backend has its last byte";
 }
 
+void AwaitReadable(PoolFixture& p, const TestConnection& connection) {
+  pollfd ready{connection.fd(), POLLIN, 0};
+  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
+}
+
+// Cancels an attempt whose connection is not up yet. Returns the connection.
+std::unique_ptr<TestConnection> DropWhileConnecting(PoolFixture& p, ManualListener& backend) {
+  uint64_t attempt = p.Send(1, "unsent");
+  EXPECT_TRUE(p.pool.DropUnsent(attempt));
+  EXPECT_FALSE(p.pool.DropUnsent(attempt));
+  return backend.Accept();
+}
+
+void ExpectWrittenAttemptGoesOn(PoolFixture& p, ManualListener& backend) {
+  uint64_t attempt = p.Send(1, "complete");
+  auto connection = backend.Accept();
+  AwaitReadable(p, *connection);
+  EXPECT_FALSE(p.pool.DropUnsent(attempt)) << "the backend has all of it";
+  connection->Write(OkResponse("x"));
+  p.RunUntil([&] { return p.ends.size() == 1; });
+  EXPECT_EQ(p.ends[0].result, CallResult::kOk);
+}
+
 // The client of a request has left. An attempt whose connection is still to come up, or of which only a part
 // has been written, has not run and is cancelled: nothing more of it may reach the backend. One that is
 // completely written may have run, so it goes on to its response.
@@ -75,27 +98,17 @@
   ManualListener backend;
   PoolFixture p;
   p.pool.Update(1, LoopbackEndpoint(backend.port()));
-  uint64_t connecting = p.Send(1, "unsent");
-  EXPECT_TRUE(p.pool.DropUnsent(connecting)) << "its connection is not up yet";
-  EXPECT_FALSE(p.pool.DropUnsent(connecting));
+  auto first = DropWhileConnecting(p, backend);
   uint64_t partial = p.Send(1, request);
-  auto first = backend.Accept(), second = backend.Accept();
-  pollfd ready{second->fd(), POLLIN, 0};
-  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
+  auto second = backend.Accept();
+  AwaitReadable(p, *second);
   EXPECT_TRUE(p.pool.DropUnsent(partial));
   while (first->Receive() || second->Receive()) {
   }
   EXPECT_EQ(first->unread, "");
   EXPECT_GT(second->unread.size(), 0u);
   EXPECT_LT(second->unread.size(), request.size());
-  uint64_t written = p.Send(1, "complete");
-  auto third = backend.Accept();
-  ready.fd = third->fd();
-  p.RunUntil([&] { return poll(&ready, 1, 0) > 0; });
-  EXPECT_FALSE(p.pool.DropUnsent(written)) << "the backend has all of it";
-  third->Write(OkResponse("x"));
-  p.RunUntil([&] { return p.ends.size() == 1; });
-  EXPECT_EQ(p.ends[0].result, CallResult::kOk);
+  ExpectWrittenAttemptGoesOn(p, backend);
 }
 
 // The backend has the complete request. Its response is there, but not read yet, when the attempt is
--- a/tests/net/client_left_test.cpp
+++ b/tests/net/client_left_test.cpp
@@ -49,36 +49,38 @@
   }
 }
 
+void ExpectNothingSentAfterTheCounterReplies(bool reset) {
+  Event called, go;
+  StubCounter slow([&](const std::string&, double) {
+    called.Add();
+    go.Wait();
+    return BulkString("0");
+  });
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  StubDiscovery discovery;
+  discovery.Set(json::array({EndpointEntry("s1", backend.port())}));
+  json config = ConfigJson(discovery.port(), slow.port());
+  config["settings"]["specifics"]["counter-timeout-s"] = 5.0;
+  config["settings"]["limits"]["cancel"] = false;
+  config["settings"]["request-classes"][2]["hard-limit-s"] = 60.0;
+  GatewayProcess gateway(config);
+  EXPECT_TRUE(discovery.AwaitApplied());
+  auto client = gateway.Connect();
+  client->Write(MakeRequest("send-lead", 2, 60000));
+  EXPECT_TRUE(called.Wait());
+  EXPECT_EQ(backend.requests.count(), 0) << "the request waits";
+  Leave(*client, reset);
+  // When it answers on a later connection, the gateway has seen the end of this one.
+  Exchange(*gateway.Connect(), kReadinessRequest);
+  go.Add();
+  EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
+  EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted";
+}
+
 // A client leaves while its request waits for the counter's reply. When that comes the request must not be
 // forwarded.
 TEST(ClientLeft, WhileItsRequestWaitsForTheCounter) {
-  for (bool reset : {false, true}) {
-    Event called, go;
-    StubCounter slow([&](const std::string&, double) {
-      called.Add();
-      go.Wait();
-      return BulkString("0");
-    });
-    StubBackend backend(RespondsWith(OkResponse("x")));
-    StubDiscovery discovery;
-    discovery.Set(json::array({EndpointEntry("s1", backend.port())}));
-    json config = ConfigJson(discovery.port(), slow.port());
-    config["settings"]["specifics"]["counter-timeout-s"] = 5.0;
-    config["settings"]["limits"]["cancel"] = false;
-    config["settings"]["request-classes"][2]["hard-limit-s"] = 60.0;
-    GatewayProcess gateway(config);
-    EXPECT_TRUE(discovery.AwaitApplied());
-    auto client = gateway.Connect();
-    client->Write(MakeRequest("send-lead", 2, 60000));
-    EXPECT_TRUE(called.Wait());
-    EXPECT_EQ(backend.requests.count(), 0) << "the request waits";
-    Leave(*client, reset);
-    // When it answers on a later connection, the gateway has seen the end of this one.
-    Exchange(*gateway.Connect(), "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    go.Add();
-    EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
-    EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted";
-  }
+  for (bool reset : {false, true}) ExpectNothingSentAfterTheCounterReplies(reset);
 }
 
 // In the tests below a client leaves while the gateway is busy, so that the end of the client waits behind
@@ -93,7 +95,7 @@
     GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}),
                            ConfigWithoutCancellation(0, 0));
     auto client = fixture.gateway->Connect();
-    Exchange(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    Exchange(*client, kReadinessRequest);
     fixture.gateway->Signal(SIGSTOP);
     client->Write(MakeRequest("quote", 1, 60000));
     Leave(*client, reset);
@@ -121,7 +123,7 @@
   client->Write(MakeRequest("send-lead", 2, 60000));
   EXPECT_TRUE(called.Wait());
   client->Write(std::string(40000, 'G'));  // more than is read ahead
-  Exchange(*gateway.Connect(), "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+  Exchange(*gateway.Connect(), kReadinessRequest);
   gateway.Signal(SIGSTOP);
   go.Add();  // its reply comes first
   AwaitArrival({slow.port()});
@@ -152,43 +154,57 @@
   }
 }
 
+// Two backends. A request for /connect is answered once there is one at each of them, and one for /fail with
+// an error when the test releases it.
+struct FailingBackends {
+  // Opens one connection to each backend, by the clients' requests.
+  void OpenConnections(TestConnection& client, TestConnection& other_client) {
+    client.Write(MakeRequest("quote/connect", 1, 60000));
+    other_client.Write(MakeRequest("quote/connect", 1, 60000));
+    EXPECT_EQ(client.Read().status(), 200);
+    EXPECT_EQ(other_client.Read().status(), 200);
+    EXPECT_EQ(one.connections() + two.connections(), 2);
+  }
+  std::string Respond(const HttpMessage& request) {
+    if (request.head.find("/connect ") != std::string::npos) {
+      connected.Add();
+      connected.Wait(2);
+    }
+    if (request.head.find("/fail ") == std::string::npos) return OkResponse("x");
+    failing.Add();
+    released.Wait();
+    return "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n";
+  }
+  Event connected, released, failing;
+  StubBackend one{[this](const HttpMessage& request, TestConnection&) { return Respond(request); }};
+  StubBackend two{[this](const HttpMessage& request, TestConnection&) { return Respond(request); }};
+};
+
+void ExpectNoRetryAfterTheFailure(bool reset) {
+  FailingBackends backends;
+  GatewayFixture fixture(
+      json::array({EndpointEntry("s1", backends.one.port()), EndpointEntry("s2", backends.two.port())}),
+      ConfigWithoutCancellation(0, 0));
+  // A connection to each backend is idle, so that a retry would go out at once.
+  auto other = fixture.gateway->Connect(), client = fixture.gateway->Connect();
+  backends.OpenConnections(*other, *client);
+  client->Write(MakeRequest("quote/fail", 1, 60000));
+  EXPECT_TRUE(backends.failing.Wait());
+  fixture.gateway->Signal(SIGSTOP);
+  backends.released.Add();
+  AwaitArrival({backends.one.port(), backends.two.port()});  // the failure comes before the client's end
+  // Until the other backend's connection has settled and could take a request.
+  std::this_thread::sleep_for(2 * Seconds(BackendConnectionPool::kSettleS));
+  Leave(*client, reset);
+  fixture.gateway->Signal(SIGCONT);
+  EXPECT_EQ(Exchange(*other, MakeRequest("quote", 1, 60000)).status(), 200);
+  EXPECT_EQ(backends.failing.count(), 1) << "no retry; reset " << reset;
+}
+
 // The first attempt's failure comes first, after which an idempotent request is retried, the client's end
 // after it.
 TEST(ClientLeft, BehindTheFailureThatWouldCauseARetry) {
-  for (bool reset : {false, true}) {
-    Event connected, go, failing;
-    auto answer = [&](const HttpMessage& request, TestConnection&) {
-      if (request.head.find("/connect ") != std::string::npos) {
-        connected.Add();
-        connected.Wait(2);
-      }
-      if (request.head.find("/fail ") == std::string::npos) return OkResponse("x");
-      failing.Add();
-      go.Wait();
-      return std::string("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n");
-    };
-    StubBackend one(answer), two(answer);
-    GatewayFixture fixture(json::array({EndpointEntry("s1", one.port()), EndpointEntry("s2", two.port())}),
-                           ConfigWithoutCancellation(0, 0));
-    // A connection to each backend is idle, so that a retry would go out at once.
-    auto other = fixture.gateway->Connect(), client = fixture.gateway->Connect();
-    other->Write(MakeRequest("quote/connect", 1, 60000));
-    client->Write(MakeRequest("quote/connect", 1, 60000));
-    EXPECT_EQ(other->Read().status(), 200);
-    EXPECT_EQ(client->Read().status(), 200);
-    EXPECT_EQ(one.connections() + two.connections(), 2);
-    client->Write(MakeRequest("quote/fail", 1, 60000));
-    EXPECT_TRUE(failing.Wait());
-    fixture.gateway->Signal(SIGSTOP);
-    go.Add();
-    AwaitArrival({one.port(), two.port()});  // the failure comes before the client's end
-    // Until the other backend's connection has settled and could take a request.
-    std::this_thread::sleep_for(2 * Seconds(BackendConnectionPool::kSettleS));
-    Leave(*client, reset);
-    fixture.gateway->Signal(SIGCONT);
-    EXPECT_EQ(Exchange(*other, MakeRequest("quote", 1, 60000)).status(), 200);
-    EXPECT_EQ(failing.count(), 1) << "no retry; reset " << reset;
-  }
+  for (bool reset : {false, true}) ExpectNoRetryAfterTheFailure(reset);
 }
 
 }  // namespace
--- a/tests/net/gateway_configuration_test.cpp
+++ b/tests/net/gateway_configuration_test.cpp
@@ -12,6 +12,10 @@
 
 using namespace test_support;
 
+void ExpectServedBy(TestConnection& client, const std::string& body) {
+  EXPECT_EQ(Exchange(client, MakeRequest("quote", 2)).body, body);
+}
+
 // The configuration file names other addresses of discovery and counter, and SIGHUP comes. The last endpoint
 // list serves until the new agent has given its own. Before that a reload meets a file that cannot be read,
 // which has to change nothing.
@@ -23,16 +27,16 @@
   discovery.Set(json::array({EndpointEntry("s2", two.port())}));
   GatewayFixture fixture(json::array({EndpointEntry("s1", one.port())}));
   auto client = fixture.gateway->Connect();
-  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "one");
+  ExpectServedBy(*client, "one");
   fixture.gateway->Reload("{");
-  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "one");
+  ExpectServedBy(*client, "one");
   json config = ConfigJson(discovery.port(), counter.port());
   for (int i = 0; i < 3; ++i) fixture.gateway->Reload(config.dump());
   EXPECT_TRUE(discovery.polls.Wait()) << "at once";
-  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "one") << "the last endpoint list";
+  ExpectServedBy(*client, "one");  // the last endpoint list
   discovery.SetSilent(false);
   EXPECT_TRUE(discovery.AwaitApplied());
-  EXPECT_EQ(Exchange(*client, MakeRequest("quote", 2)).body, "two") << "the new agent's list";
+  ExpectServedBy(*client, "two");  // the new agent's list
   for (int i = 0; i < 100 && counter.calls.count() == 0; ++i) Exchange(*client, MakeRequest("quote", 2));
   EXPECT_GT(counter.calls.count(), 0);
   fixture.gateway->Signal(SIGHUP);
@@ -59,6 +63,22 @@
   }
 }
 
+// Changes a gateway's configuration and sends SIGHUP. `word`: what the log line of the rejection names.
+void ExpectConfigurationRejected(const std::string& word, const std::function<void(json&)>& change) {
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  StubDiscovery foreign;
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  json config = ConfigJson(foreign.port(), UnusedPort());
+  change(config);
+  fixture.gateway->Reload(config.dump());
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
+  fixture.gateway->Signal(SIGTERM);
+  EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+  EXPECT_EQ(foreign.polls.count(), 0) << word;
+  EXPECT_NE(fixture.gateway->log.find("configuration_rejected"), std::string::npos) << word;
+  EXPECT_NE(fixture.gateway->log.find(word), std::string::npos) << fixture.gateway->log;
+}
+
 // SIGHUP comes when the file is another gateway's or another deployment's, or its cached list is invalid.
 // Applied even in part it would send requests to a foreign fleet. Nothing of it is used, and the log says
 // why.
@@ -72,20 +92,7 @@
       {"known", [](json& c) {
          c["known"] = {{"index", "x"}};
        }}};
-  for (const auto& [word, change] : others) {
-    StubBackend backend(RespondsWith(OkResponse("x")));
-    StubDiscovery foreign;
-    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
-    json config = ConfigJson(foreign.port(), UnusedPort());
-    change(config);
-    fixture.gateway->Reload(config.dump());
-    EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
-    fixture.gateway->Signal(SIGTERM);
-    EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
-    EXPECT_EQ(foreign.polls.count(), 0) << word;
-    EXPECT_NE(fixture.gateway->log.find("configuration_rejected"), std::string::npos) << word;
-    EXPECT_NE(fixture.gateway->log.find(word), std::string::npos) << fixture.gateway->log;
-  }
+  for (const auto& [word, change] : others) ExpectConfigurationRejected(word, change);
 }
 
 }  // namespace
--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -85,29 +85,35 @@
   EXPECT_EQ(client->Read().body, "three");
 }
 
+// Responds, and then makes the connection stale: by a close, by bytes that nobody asked for, or by a header
+// that announces a close. `closed`: the gateway has closed the connection on which such bytes came.
+std::string RespondAndBecomeStale(const std::string& how, TestConnection& connection, Event* closed) {
+  if (how == "header") return OkResponse("x", "Connection: close\r\n");
+  connection.Write(OkResponse("x") + (how == "bytes" ? "unasked" : ""));
+  if (how == "bytes" && connection.AwaitEnd()) closed->Add();
+  return "";
+}
+
+void ExpectStaleConnectionNotReused(const std::string& how) {
+  Event closed;
+  StubBackend backend([&](const HttpMessage&, TestConnection& connection) {
+    return RespondAndBecomeStale(how, connection, &closed);
+  });
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto client = fixture.gateway->Connect();
+  EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << how;
+  if (how == "bytes") {
+    EXPECT_TRUE(closed.Wait());
+  }
+  // The end may cross the next request; from the one after it on the connection is known to be over.
+  if (how == "close") Exchange(*client, MakeRequest("quote"));
+  EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << how;
+}
+
 // A backend closes an idle connection, announces its close, or sends bytes that nobody asked for. The next
 // request on such a connection would end as a reset, or get a response that is not its own.
 TEST(GatewayConnections, ReusesNoStaleBackendConnection) {
-  for (std::string after : {"close", "bytes", "header"}) {
-    Event closed;
-    StubBackend backend([&](const HttpMessage&, TestConnection& connection) {
-      if (after == "header") return OkResponse("x", "Connection: close\r\n");
-      connection.Write(OkResponse("x") + (after == "bytes" ? "unasked" : ""));
-      if (after == "bytes") {
-        if (connection.AwaitEnd()) closed.Add();
-      }
-      return std::string();
-    });
-    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
-    auto client = fixture.gateway->Connect();
-    EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << after;
-    if (after == "bytes") {
-      EXPECT_TRUE(closed.Wait());
-    }
-    // The end may cross the next request; from the one after it on the connection is known to be over.
-    if (after == "close") Exchange(*client, MakeRequest("quote"));
-    EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << after;
-  }
+  for (const char* how : {"close", "bytes", "header"}) ExpectStaleConnectionNotReused(how);
 }
 
 // A backend closes connections that have been idle for some time. A request written just then ends as a reset
@@ -189,6 +195,7 @@
   fixture.discovery.SetSilent(true);
   fixture.counter.Stop();
   std::vector<std::unique_ptr<TestConnection>> idle;
+  idle.reserve(200);
   for (int i = 0; i < 200; ++i) idle.push_back(fixture.gateway->Connect());
   EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).body, "before")
       << "a new client is served";
--- a/tests/net/gateway_discovery_test.cpp
+++ b/tests/net/gateway_discovery_test.cpp
@@ -15,54 +15,80 @@
 
 using namespace test_support;
 
+// The body that a request gets by the list as set last.
+std::string NextBody(GatewayFixture& fixture, TestConnection& client) {
+  EXPECT_TRUE(fixture.discovery.AwaitApplied());
+  return Exchange(client, MakeRequest("quote")).body;
+}
+
 // Backends come, go, change their address and drain, in full lists and in changes, and once discovery answers
 // with garbage, which has to change nothing.
 TEST(GatewayDiscovery, AppliesEndpointListsAndChanges) {
   StubBackend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
   GatewayFixture fixture(json::array({EndpointEntry("a", one.port())}));
   auto client = fixture.gateway->Connect();
-  auto next_body = [&] {
-    EXPECT_TRUE(fixture.discovery.AwaitApplied());
-    return Exchange(*client, MakeRequest("quote")).body;
-  };
-  EXPECT_EQ(next_body(), "one");
+  EXPECT_EQ(NextBody(fixture, *client), "one");
   fixture.discovery.Set(json::array({EndpointEntry("b", two.port())}));
-  EXPECT_EQ(next_body(), "two") << "what a full list does not name is removed";
+  EXPECT_EQ(NextBody(fixture, *client), "two") << "what a full list does not name is removed";
   fixture.discovery.Set(json::array({EndpointEntry("b", one.port())}));
-  EXPECT_EQ(next_body(), "one") << "an address may change";
+  EXPECT_EQ(NextBody(fixture, *client), "one") << "an address may change";
   fixture.discovery.Set(
       json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}), false,
       json::array({EndpointEntry("a", two.port()), EndpointEntry("b", one.port(), "leaving")}));
-  EXPECT_EQ(next_body(), "two") << "a draining backend gets nothing new";
+  EXPECT_EQ(NextBody(fixture, *client), "two") << "a draining backend gets nothing new";
   fixture.discovery.Set(json::array({EndpointEntry("a", two.port())}), true, {}, "no list");
-  EXPECT_EQ(next_body(), "two") << "garbage changes nothing, and the list is polled again";
+  EXPECT_EQ(NextBody(fixture, *client), "two") << "garbage changes nothing, and the list is polled again";
 }
 
+// An agent that lists one backend, never answers the first watch, and lists another backend from then on.
+class HangingAgent {
+ public:
+  HangingAgent(int first_port, int later_port)
+      : first_port_(first_port), later_port_(later_port), server_([this](TestConnection& connection) {
+          while (AnswerPoll(connection)) {
+          }
+        }) {}
+  int port() const { return server_.port(); }
+  void Stop() { server_.Stop(); }
+  std::atomic<int> wait_ms{0};  // that the first watch asks for
+  Event renewed;                // a watch follows the later list
+
+ private:
+  // False where no further poll is to come on the connection.
+  bool AnswerPoll(TestConnection& connection) {
+    HttpMessage request = connection.Read();
+    if (!request.complete) return false;
+    int poll = ++polls_;
+    if (poll == 2) {
+      size_t wait = request.head.find("wait_ms=");
+      if (wait != std::string::npos) wait_ms = std::atoi(request.head.c_str() + wait + 8);
+      connection.AwaitEnd();
+      return false;
+    }
+    if (poll > 3) renewed.Add();
+    json endpoint = poll == 1 ? EndpointEntry("a", first_port_) : EndpointEntry("b", later_port_);
+    json list = {{"index", poll}, {"snapshot", true}, {"endpoints", json::array({endpoint})}};
+    connection.Write(OkResponse(list.dump()));
+    if (poll > 3) connection.AwaitEnd();
+    return poll <= 3;
+  }
+
+  const int first_port_, later_port_;
+  std::atomic<int> polls_{0};
+  StubServer server_;
+};
+
 // The connection to the agent hangs: a watch is open and never answered. What the agent has counts as
 // notified all the same, so the watch has to be given up and renewed well before that costs a drain's grace.
 TEST(GatewayDiscovery, RenewsAWatchThatGoesSilent) {
   StubBackend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
-  std::atomic<int> polls{0}, wait_ms{0};
-  Event renewed;
   StubCounter counter([](const std::string&, double) { return BulkString("0"); });
-  StubServer agent([&](TestConnection& connection) {
-    for (HttpMessage request = connection.Read(); request.complete; request = connection.Read()) {
-      size_t wait = request.head.find("wait_ms=");
-      int poll = ++polls;
-      if (poll == 2 && wait != std::string::npos) wait_ms = std::atoi(request.head.c_str() + wait + 8);
-      if (poll == 2) return void(connection.AwaitEnd());  // the first watch is never answered
-      if (poll > 3) renewed.Add();
-      json entries =
-          json::array({poll == 1 ? EndpointEntry("a", one.port()) : EndpointEntry("b", two.port())});
-      connection.Write(OkResponse(json{{"index", poll}, {"snapshot", true}, {"endpoints", entries}}.dump()));
-      if (poll > 3) return void(connection.AwaitEnd());
-    }
-  });
+  HangingAgent agent(one.port(), two.port());
   GatewayProcess gateway(ConfigJson(agent.port(), counter.port()));
-  EXPECT_TRUE(renewed.Wait());
+  EXPECT_TRUE(agent.renewed.Wait());
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote")).body, "two");
-  EXPECT_GT(wait_ms, 0);
-  EXPECT_LE(wait_ms, 2000);
+  EXPECT_GT(agent.wait_ms, 0);
+  EXPECT_LE(agent.wait_ms, 2000);
   agent.Stop();
 }
 
@@ -78,10 +104,10 @@
   auto client = gateway.Connect();
   EXPECT_EQ(Exchange(*client, MakeRequest("quote")).status(), 200);
   for (int i = 0; i < 3000; ++i) {
-    if (Exchange(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) break;
+    if (Exchange(*client, kReadinessRequest).status() == 200) break;
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
-  EXPECT_EQ(Exchange(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+  EXPECT_EQ(Exchange(*client, kReadinessRequest).status(), 200);
 }
 
 // A hundred gateways start at once with a long cached list, while discovery is silent or refuses connections.
@@ -107,7 +133,7 @@
     auto probe = gateway->Connect();
     int status = 0;
     while (status != 200 && std::chrono::steady_clock::now() < limit) {
-      status = Exchange(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
+      status = Exchange(*probe, kReadinessRequest).status();
     }
     EXPECT_EQ(status, 200);
   }
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -17,34 +17,45 @@
 
 using namespace test_support;
 
+void ExpectForwardedUnchanged(const HttpMessage& sent) {
+  EXPECT_EQ(sent.head.substr(0, sent.head.find("\r\n")), "POST /send-lead?a=b%20c HTTP/1.1");
+  EXPECT_EQ(sent.body, "the body");
+  EXPECT_EQ(sent.Header("X-Own"), "7");
+  EXPECT_FALSE(sent.Header("Request-Id").empty());
+  EXPECT_EQ(sent.head.find("Request-Timeout-Ms"), sent.head.rfind("Request-Timeout-Ms"));
+  EXPECT_LE(std::atoi(sent.Header("Request-Timeout-Ms").c_str()), 3000);
+}
+
+void ExpectEchoed(const HttpMessage& response) {
+  EXPECT_EQ(response.status(), 200);
+  EXPECT_EQ(response.body, "echo:the body");
+  EXPECT_EQ(response.Header("X-Note"), "kept");
+}
+
+// A connection takes no request for some milliseconds after a response, and then is used again.
+void ExpectConnectionsReused(TestConnection& client, StubBackend& backend) {
+  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+  while (backend.connections() == backend.requests.count() && std::chrono::steady_clock::now() < limit) {
+    EXPECT_NE(Exchange(client, MakeRequest("quote")).status(), 0);
+  }
+  EXPECT_LT(backend.connections(), backend.requests.count());
+}
+
 TEST(Gateway, ForwardsRequestsAndResponsesUnchangedAndReusesConnections) {
   StubBackend backend([](const HttpMessage& request, TestConnection&) {
     return OkResponse("echo:" + request.body, "X-Note: kept\r\nX-Cost-Units: 2\r\n");
   });
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   auto client = fixture.gateway->Connect();
-  EXPECT_EQ(Exchange(*client, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+  EXPECT_EQ(Exchange(*client, kReadinessRequest).status(), 200);
   HttpMessage response =
       Exchange(*client, MakeRequest("send-lead?a=b%20c", 1, 3000, "X-Own: 7\r\n", "the body"));
-  EXPECT_EQ(response.status(), 200);
-  EXPECT_EQ(response.body, "echo:the body");
-  EXPECT_EQ(response.Header("X-Note"), "kept");
-  HttpMessage sent = backend.request(0);
-  EXPECT_EQ(sent.head.substr(0, sent.head.find("\r\n")), "POST /send-lead?a=b%20c HTTP/1.1");
-  EXPECT_EQ(sent.body, "the body");
-  EXPECT_EQ(sent.Header("X-Own"), "7");
-  EXPECT_FALSE(sent.Header("Request-Id").empty());
-  EXPECT_EQ(sent.head.find("Request-Timeout-Ms"), sent.head.rfind("Request-Timeout-Ms"));
-  EXPECT_LE(std::atoi(sent.Header("Request-Timeout-Ms").c_str()), 3000);
+  ExpectEchoed(response);
+  ExpectForwardedUnchanged(backend.request(0));
   EXPECT_EQ(Exchange(*client, MakeRequest("save-scenario", 1, 3000, "", "b")).status(), 200);
   EXPECT_FALSE(backend.request(1).Header("Idempotency-Key").empty());
   EXPECT_EQ(Exchange(*client, MakeRequest("quote")).status(), 200);
-  // A connection takes no request for some milliseconds after a response, and then is used again.
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
-  while (backend.connections() == backend.requests.count() && std::chrono::steady_clock::now() < limit) {
-    EXPECT_NE(Exchange(*client, MakeRequest("quote")).status(), 0);
-  }
-  EXPECT_LT(backend.connections(), backend.requests.count());
+  ExpectConnectionsReused(*client, backend);
 }
 
 // A second request comes with the id of one that is still in flight. If both were forwarded, a backend could
--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -16,6 +16,14 @@
 
 using namespace test_support;
 
+// Each response after SIGTERM ends its connection.
+void ExpectLastResponse(TestConnection& connection) {
+  HttpMessage response = connection.Read();
+  EXPECT_EQ(response.status(), 200);
+  EXPECT_EQ(response.Header("Connection"), "close");
+  EXPECT_TRUE(connection.AwaitEnd());
+}
+
 // SIGTERM comes with one request in flight and another sent by half. Both have to be finished, and so has a
 // request on a connection that comes after the signal. Each response ends its connection, and the process
 // exits with 0.
@@ -38,8 +46,7 @@
   later->Write(begun.substr(0, 50));
   fixture.gateway->Signal(SIGTERM);
   auto probe = fixture.gateway->Connect();
-  for (int i = 0; i < 3000 && Exchange(*probe, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
-       ++i) {
+  for (int i = 0; i < 3000 && Exchange(*probe, kReadinessRequest).status() == 200; ++i) {
   }
   // One on a new connection, one on a connection from before. Where the gateway's closing of idle connections
   // crosses the request, it is sent once more on another, as clients do.
@@ -53,12 +60,7 @@
   }
   ASSERT_NE(fresh, nullptr);
   released.Add();
-  for (TestConnection* connection : {client.get(), fresh.get(), later.get()}) {
-    HttpMessage response = connection->Read();
-    EXPECT_EQ(response.status(), 200);
-    EXPECT_EQ(response.Header("Connection"), "close");
-    EXPECT_TRUE(connection->AwaitEnd());
-  }
+  for (TestConnection* connection : {client.get(), fresh.get(), later.get()}) ExpectLastResponse(*connection);
   EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
 }
 
@@ -74,7 +76,7 @@
   auto client = fixture.gateway->Connect();
   std::string request = MakeRequest("send-lead", 1, 50000);
   client->Write(request.substr(0, 50));
-  Exchange(*fixture.gateway->Connect(), "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+  Exchange(*fixture.gateway->Connect(), kReadinessRequest);
   auto idle = fixture.gateway->Connect();
   fixture.gateway->Signal(SIGTERM);
   EXPECT_TRUE(idle->AwaitEnd());  // from now on requests are only finished
@@ -84,40 +86,41 @@
   EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
 }
 
+void ExpectUnreadRequestsServed(bool late) {
+  StubBackend backend(RespondsWith(OkResponse("x")));
+  GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
+  auto kept = fixture.gateway->Connect();
+  EXPECT_EQ(Exchange(*kept, kReadinessRequest).status(), 200);
+  auto probe = fixture.gateway->Connect();
+  EXPECT_EQ(Exchange(*probe, kReadinessRequest).status(), 200);
+  if (late) {
+    fixture.gateway->Signal(SIGTERM);
+    while (Exchange(*probe, kReadinessRequest).status() == 200) {
+    }
+  }
+  fixture.gateway->Signal(SIGSTOP);
+  auto fresh = fixture.gateway->Connect();
+  kept->Write(MakeRequest("send-lead"));
+  fresh->Write(MakeRequest("send-lead"));
+  if (late) std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the time is over meanwhile
+  fixture.gateway->Signal(SIGTERM);
+  fixture.gateway->Signal(SIGCONT);
+  EXPECT_EQ(kept->Read().status(), 200) << late;
+  EXPECT_EQ(fresh->Read().status(), 200) << late;
+  EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
+}
+
 // Requests are in the accept queue, or unread on an idle connection, when SIGTERM is seen or when the time to
 // go on accepting is over. The gateway must serve them: their clients cannot know that it is shutting down.
 // The process is stopped meanwhile, so that all of them are there when it looks.
 TEST(GracefulShutdown, ServesUnreadRequestsAtSigtermAndWhenAcceptingEnds) {
-  for (bool late : {false, true}) {
-    StubBackend backend(RespondsWith(OkResponse("x")));
-    GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
-    std::string ready = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-    auto kept = fixture.gateway->Connect();
-    EXPECT_EQ(Exchange(*kept, ready).status(), 200);
-    auto probe = fixture.gateway->Connect();
-    EXPECT_EQ(Exchange(*probe, ready).status(), 200);
-    if (late) {
-      fixture.gateway->Signal(SIGTERM);
-      while (Exchange(*probe, ready).status() == 200) {
-      }
-    }
-    fixture.gateway->Signal(SIGSTOP);
-    auto fresh = fixture.gateway->Connect();
-    kept->Write(MakeRequest("send-lead"));
-    fresh->Write(MakeRequest("send-lead"));
-    if (late) std::this_thread::sleep_for(std::chrono::milliseconds(600));  // the time is over meanwhile
-    fixture.gateway->Signal(SIGTERM);
-    fixture.gateway->Signal(SIGCONT);
-    EXPECT_EQ(kept->Read().status(), 200) << late;
-    EXPECT_EQ(fresh->Read().status(), 200) << late;
-    EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
-  }
+  for (bool late : {false, true}) ExpectUnreadRequestsServed(late);
 }
 
 // SIGTERM comes while a response is written by half, as its client reads nothing for a while. It gets the
 // rest before the process exits.
 TEST(GracefulShutdown, CompletesAResponseThatIsBeingWritten) {
-  std::string body(64 * 1024, 'b');
+  std::string body(size_t{64} * 1024, 'b');
   StubBackend backend(RespondsWith(OkResponse(body)));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   sockaddr_in at;
--- a/tests/support/client_request.h
+++ b/tests/support/client_request.h
@@ -26,6 +26,9 @@
   return text + more + "\r\n" + body;
 }
 
+// Answered by 200 where the gateway is ready.
+inline constexpr char kReadinessRequest[] = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+
 // Sends a request and reads the response.
 inline HttpMessage Exchange(TestConnection& connection, const std::string& request) {
   connection.Write(request);
