--- a/tests/net/client_left_test.cpp
+++ b/tests/net/client_left_test.cpp
@@ -17,6 +17,16 @@
 
 using namespace test_support;
 
+// A counter whose replies wait until the test releases them.
+struct DelayedCounter {
+  Event called, released;
+  StubCounter counter{[this](const std::string&, double) {
+    called.Add();
+    released.Wait();
+    return BulkString("0");
+  }};
+};
+
 void Leave(TestConnection& client, bool reset) {
   if (reset) return client.Reset();
   client.Close();
@@ -50,16 +60,11 @@
 }
 
 void ExpectNothingSentAfterTheCounterReplies(bool reset) {
-  Event called, go;
-  StubCounter slow([&](const std::string&, double) {
-    called.Add();
-    go.Wait();
-    return BulkString("0");
-  });
+  DelayedCounter delayed;
   StubBackend backend(RespondsWith(OkResponse("x")));
   StubDiscovery discovery;
   discovery.Set(json::array({EndpointEntry("s1", backend.port())}));
-  json config = ConfigJson(discovery.port(), slow.port());
+  json config = ConfigJson(discovery.port(), delayed.counter.port());
   config["settings"]["specifics"]["counter-timeout-s"] = 5.0;
   config["settings"]["limits"]["cancel"] = false;
   config["settings"]["request-classes"][2]["hard-limit-s"] = 60.0;
@@ -67,12 +72,12 @@
   EXPECT_TRUE(discovery.AwaitApplied());
   auto client = gateway.Connect();
   client->Write(MakeRequest("send-lead", 2, 60000));
-  EXPECT_TRUE(called.Wait());
+  EXPECT_TRUE(delayed.called.Wait());
   EXPECT_EQ(backend.requests.count(), 0) << "the request waits";
   Leave(*client, reset);
   // When it answers on a later connection, the gateway has seen the end of this one.
   Exchange(*gateway.Connect(), kReadinessRequest);
-  go.Add();
+  delayed.released.Add();
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
   EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted";
 }
@@ -108,25 +113,20 @@
 // The counter's reply comes first, and the client's end stands behind more pipelined bytes than the gateway
 // reads ahead.
 TEST(ClientLeft, BehindPipelinedBytesWhileItsRequestWaitsForTheCounter) {
-  Event called, go;
-  StubCounter slow([&](const std::string&, double) {
-    called.Add();
-    go.Wait();
-    return BulkString("0");
-  });
+  DelayedCounter delayed;
   StubBackend backend(RespondsWith(OkResponse("x")));
   StubDiscovery discovery;
   discovery.Set(json::array({EndpointEntry("s1", backend.port())}));
-  GatewayProcess gateway(ConfigWithoutCancellation(discovery.port(), slow.port()));
+  GatewayProcess gateway(ConfigWithoutCancellation(discovery.port(), delayed.counter.port()));
   EXPECT_TRUE(discovery.AwaitApplied());
   auto client = gateway.Connect();
   client->Write(MakeRequest("send-lead", 2, 60000));
-  EXPECT_TRUE(called.Wait());
+  EXPECT_TRUE(delayed.called.Wait());
   client->Write(std::string(40000, 'G'));  // more than is read ahead
   Exchange(*gateway.Connect(), kReadinessRequest);
   gateway.Signal(SIGSTOP);
-  go.Add();  // its reply comes first
-  AwaitArrival({slow.port()});
+  delayed.released.Add();  // its reply comes first
+  AwaitArrival({delayed.counter.port()});
   client->EndSending();
   gateway.Signal(SIGCONT);
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
