--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -15,8 +15,8 @@
 constexpr size_t kMaxLingeringBytes = size_t{1} << 20;
 constexpr auto kLingerTimeout = std::chrono::seconds(1);  // for a client to read its last response
 constexpr auto kWriteTimeout = std::chrono::seconds(10);  // for a client to read a response
-// Between two looks for the end of a client of which no more is read: half of the 0.1 s after which no
-// attempt of its request may begin.
+// Interval at which a client is checked for having left while nothing is read of it: half of the 0.1 s after
+// which no attempt of its request may begin.
 constexpr auto kClientEndInterval = std::chrono::milliseconds(50);
 
 int StatusForUnreadable(error_code error) {
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -83,7 +83,7 @@
   // socket, since the event may be queued behind others in a busy loop.
   bool HasClientLeft();
 
-  // Closes the session if it is idle and nothing has come that was not read yet: such bytes are the begin of
+  // Closes the session if it is idle and nothing has come that was not read yet: such bytes begin
   // a request that is to be served. Returns whether it did.
   bool CloseIfIdle();
 
--- a/src/net/http_field_names.h
+++ b/src/net/http_field_names.h
@@ -17,7 +17,7 @@
 inline constexpr char kIngressGatewaysTerm[] = "spread";     // number of consecutive gateways
 inline constexpr char kFirstIngressGatewayTerm[] = "first";  // index of the first of them
 
-// Backend to gateway; none of these is passed on to the client.
+// Backend to gateway. The measured cost and the load report are not passed on to the client.
 inline constexpr char kNotStartedField[] = "Not-Started";  // on 503 and 504: the request has not run
 inline constexpr char kNotStartedValue[] = "1";
 inline constexpr char kActualCostField[] = "X-Cost-Units";  // measured cost, in units
--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -52,7 +52,6 @@
     if (!settings_.discovery_is_pushed) actions->push_back(PollDiscovery{});
   }
   Impl(const Impl&) = delete;
-  Impl& operator=(const Impl&) = delete;
 
   void OnEndpointUpdate(double now_s, EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints,
                         Actions* actions) {
@@ -159,7 +158,7 @@
     InFlightRequest& admitted = in_flight_[request.id] = std::move(arrived);
     Charge(tenant, &admitted, within_quota);
     if (within_quota) ReportInSamples(tenant, request);
-    Admit(&admitted, backend, now_s, actions);
+    Admit(tenant, &admitted, backend, now_s, actions);
     counter_.ReportUsage(tenant, now_s, actions);
   }
 
@@ -204,7 +203,7 @@
       Backend* backend = within_quota ? selector_.Select(request, now_s) : nullptr;
       if (backend != nullptr) {
         Charge(tenant, &request, true);
-        Admit(&request, backend, now_s, actions);
+        Admit(tenant, &request, backend, now_s, actions);
         continue;
       }
       if (decision == QuotaDecision::kOverQuota) {
@@ -238,19 +237,20 @@
     quota.AdjustUnreported(request.cost_units * (factor - 1));
   }
 
-  void Admit(InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
+  void Admit(Tenant* tenant, InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
     retry_policy_.RecordAdmission();
-    Forward(request, backend, now_s, actions);
+    Forward(tenant, request, backend, now_s, actions);
     StartCheckTimer(*request, backend, now_s, actions);
   }
 
-  void Forward(InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
+  // `tenant`: null where it is not known any more.
+  void Forward(Tenant* tenant, InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
     request->attempts.push_back({backend->endpoint.id, now_s, true});
     ++request->attempts_in_flight;
     ++backend->attempts_in_flight;
     load_shedder_.RecordAttemptStarted();
     backend->warm_up.Charge(estimator_.ExpectedLatencyS(request->request));
-    if (Tenant* tenant = tenants_.Find(request->request.tenant)) {
+    if (tenant != nullptr) {
       tenant->concurrency.AttemptStarted();
       counter_.ReportConcurrency(tenant, now_s, actions);
     }
@@ -289,7 +289,7 @@
     Backend* backend = selector_.Select(*request, now_s);
     if (backend == nullptr) return false;
     retry_policy_.RecordRetry();
-    Forward(request, backend, now_s, actions);
+    Forward(tenants_.Find(request->request.tenant), request, backend, now_s, actions);
     return true;
   }
 
