--- a/src/config/json_flattener.cpp
+++ b/src/config/json_flattener.cpp
@@ -1,5 +1,7 @@
 #include "config/json_flattener.h"
 
+#include <algorithm>
+
 namespace gateway::config {
 namespace {
 
@@ -67,4 +69,10 @@
   return flat;
 }
 
+std::optional<int> FindName(const std::vector<std::string>& names, std::string_view name) {
+  auto it = std::find(names.begin(), names.end(), NormalizeName(name));
+  if (it == names.end()) return std::nullopt;
+  return static_cast<int>(it - names.begin());
+}
+
 }  // namespace gateway::config
--- a/src/config/json_flattener.h
+++ b/src/config/json_flattener.h
@@ -3,8 +3,10 @@
 #define GATEWAY_CONFIG_JSON_FLATTENER_H_
 
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <string>
 #include <string_view>
+#include <vector>
 
 namespace gateway::config {
 
@@ -16,6 +18,9 @@
 // are compared with those of the settings in this form.
 std::string NormalizeName(std::string_view name);
 
+// Index of a name among those of the settings; none where it is not there.
+std::optional<int> FindName(const std::vector<std::string>& names, std::string_view name);
+
 }  // namespace gateway::config
 
 #endif  // GATEWAY_CONFIG_JSON_FLATTENER_H_
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -39,7 +39,7 @@
 void Reload(const std::string& file_name, net::Gateway* gateway) {
   try {
     gateway->Reload(config::LoadGatewayConfig(file_name));
-    std::fprintf(stderr, "configuration_reloaded applied=discovery,counter\n");
+    std::fprintf(stderr, "configuration_reloaded applied=addresses\n");
   } catch (const std::exception& error) {
     std::fprintf(stderr, "configuration_rejected error=\"%s\"\n", error.what());
   }
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -20,8 +20,7 @@
 
 // The index of the name; of one that the settings do not have, their number.
 int IndexOfName(const std::vector<std::string>& names, const std::string& name) {
-  auto it = std::find(names.begin(), names.end(), config::NormalizeName(name));
-  return static_cast<int>(it - names.begin());
+  return config::FindName(names, name).value_or(static_cast<int>(names.size()));
 }
 
 EndpointState ParseState(const std::string& status) {
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -215,7 +215,7 @@
     parsed.timeout_s = std::min(parsed.timeout_s, shutdown_.TimeForAnswer());
     if (parsed.timeout_s <= 0) return ReplyStatus(connection, http::status::service_unavailable);
   }
-  Admit(connection, &message, parsed);
+  StartRequest(connection, &message, parsed);
 }
 
 void Gateway::AnswerAdminRequest(uint64_t connection, std::string_view target) {
@@ -228,7 +228,7 @@
   server_.Reply(connection, StatusResponse(status));
 }
 
-void Gateway::Admit(uint64_t connection, ClientRequest* message, const ParsedRequest& parsed) {
+void Gateway::StartRequest(uint64_t connection, ClientRequest* message, const ParsedRequest& parsed) {
   double margin_s = std::min(kAnswerMarginS, kAnswerMarginFraction * parsed.timeout_s);
   uint32_t id = requests_.Add(connection, parsed.client_request_id);
   InFlightRequest& request = requests_.At(id);
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -61,7 +61,8 @@
   void OnConnectionClosed(uint64_t connection, bool had_unanswered_request);
   void AnswerAdminRequest(uint64_t connection, std::string_view target);
   void ReplyStatus(uint64_t connection, http::status status);
-  void Admit(uint64_t connection, ClientRequest* message, const ParsedRequest& parsed);  // takes the body
+  void StartRequest(uint64_t connection, ClientRequest* message,
+                    const ParsedRequest& parsed);  // takes the body
   void Answer(uint32_t request_id, Response response);
 
   // Attempts.
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -58,21 +58,18 @@
   return found;
 }
 
-// -1 where the list has no such name.
-int IndexOfName(const std::vector<std::string>& names, std::string_view name) {
-  auto it = std::find(names.begin(), names.end(), config::NormalizeName(name));
-  return it == names.end() ? -1 : static_cast<int>(it - names.begin());
-}
-
 // The class is the first part of the path.
 bool ParseClassAndPlan(const ClientRequest& message, const config::DeploymentSettings& deployment,
                        policy::Request* request) {
   std::string_view target = ToStringView(message.target());
   if (target.empty() || target.front() != '/') return false;
   size_t end = std::min(target.find_first_of("/?#", 1), target.size());
-  request->request_class = IndexOfName(deployment.class_names, target.substr(1, end - 1));
-  request->plan = IndexOfName(deployment.plan_names, ToStringView(message[kPlanField]));
-  return request->request_class >= 0 && request->plan >= 0;
+  auto request_class = config::FindName(deployment.class_names, target.substr(1, end - 1));
+  auto plan = config::FindName(deployment.plan_names, ToStringView(message[kPlanField]));
+  if (!request_class || !plan) return false;
+  request->request_class = *request_class;
+  request->plan = *plan;
+  return true;
 }
 
 // A repeated field has two readings: the gateway might use one and a backend the other.
--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -187,8 +187,7 @@
   }
 
   // Decides the requests that wait for the counter by what is known now. They were not shed when they
-  // arrived, and are not shed now; nothing is borrowed any more. `counter_replied`: its reply has come, and
-  // was no error.
+  // arrived, and are not shed now. `counter_replied`: its reply has come, and was no error.
   void DecideWaiting(Tenant* tenant, bool counter_replied, double now_s, Actions* actions) {
     std::vector<WaitingRequest> waiting;
     waiting.swap(tenant->waiting);
@@ -209,7 +208,7 @@
       if (decision == QuotaDecision::kOverQuota) {
         RejectOverQuota(entry.request_id, actions);
       } else {
-        Reject(entry.request_id, actions);  // no backend may be used, or only borrowing is left
+        Reject(entry.request_id, actions);  // no backend may be used
       }
       in_flight_.erase(it);
     }
@@ -234,7 +233,7 @@
     if (!quota.HasRateQuota() || quota.HasSingleGateway()) return;
     double probability = counter_.ReportingProbability(quota.ingress_gateways());
     double factor = random_.Uniform() < probability ? 1 / probability : 0;
-    quota.AdjustUnreported(request.cost_units * (factor - 1));
+    quota.AddUnreported(request.cost_units * (factor - 1));
   }
 
   void Admit(Tenant* tenant, InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
@@ -254,7 +253,7 @@
       tenant->concurrency.AttemptStarted();
       counter_.ReportConcurrency(tenant, now_s, actions);
     }
-    double timeout_s = std::max(settings_.timer_resolution_s, request->deadline_s - now_s);
+    double timeout_s = std::max(settings_.timer_resolution_s, request->deadline_at_s - now_s);
     actions->push_back(ForwardAttempt{request->request.id, backend->endpoint.id, timeout_s});
   }
 
@@ -271,7 +270,7 @@
 
   void HedgeOrCancelSilentAttempt(InFlightRequest* request, double now_s, Actions* actions) {
     Backend* backend = LastBackend(*request);
-    if (!retry_policy_.ShouldHedge(*request, backend, now_s)) return;
+    if (!retry_policy_.ShouldHedgeOrCancel(*request, backend, now_s)) return;
     if (settings_.hedging_enabled) {
       // With other attempts in flight there, the silence is the backend's and not this request's.
       if (backend->attempts_in_flight > 1) feedback_.RecordFailure(backend, now_s, actions);
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -64,7 +64,7 @@
   Call call{Call::Kind::kUsage, tenant->id, quota.window(), quota.unreported_units(), now_s};
   if (!StartCall(call, kUsageExpiryWindows * WindowSeconds(quota.plan()), actions)) return;
   tenant->usage_call_pending = true;
-  quota.TakeUnreported();
+  quota.MarkReported();
 }
 
 void CounterSchedule::ReportConcurrency(Tenant* tenant, double now_s, Actions* actions) {
@@ -127,7 +127,7 @@
   TenantQuota& quota = tenant->quota;
   if (reply.result != CallResult::kOk) {
     // After a time-out the units may have been added: reporting them again could count them twice.
-    if (reply.result != CallResult::kTimeout) quota.RestoreUnreported(call.amount);
+    if (reply.result != CallResult::kTimeout) quota.AddUnreported(call.amount);
     return;
   }
   if (call.period == quota.window()) {
--- a/src/policy/counter_schedule.h
+++ b/src/policy/counter_schedule.h
@@ -45,12 +45,14 @@
   // Price of learning a tenant's total: the call that asks, and at times one that corrects it.
   double LookupPrice() const;
 
-  // Factor by which a request admitted without a lookup is reported: some are not reported at all, and the
-  // others stand for them. Otherwise a tenant that each of many gateways sees once would take a call at each,
-  // or never be reported. Returns the probability that this one is.
+  // Probability that a request admitted without a lookup is reported; one that is stands for those that are
+  // not. Otherwise a tenant that each of many gateways sees once would take a call at each, or never be
+  // reported.
   double ReportingProbability(double ingress_gateways) const;
 
-  // Makes the calls that are due for the tenant, if any.
+  // Each makes the tenant's next call of its kind, if one is due. A call both reports what this gateway has
+  // used and reads the total: it is due for a report that is large or old enough, and as a lookup where a
+  // request waits.
   void ReportUsage(Tenant* tenant, double now_s, Actions* actions);
   void ReportConcurrency(Tenant* tenant, double now_s, Actions* actions);
 
--- a/src/policy/demand_share.h
+++ b/src/policy/demand_share.h
@@ -25,10 +25,13 @@
   double demand_units_ = 0;   // V_i: asked for in that tick
 };
 
-// Rule: with each tick a tenant is granted V_i / sum V x (W - mu_i), at most what its bucket has free. V_i is
-// what it asked for in the last tick in which it asked, sum V what all asked for then, mu_i its tokens; the
-// free capacity W is what this gateway's backends served in that tick, and zero where the tick saw pressure:
-// a rejection as full, or an answer past its latency objective.
+// Rule: with each tick a tenant is granted V_i / sum V x (W - mu_i), at most what its bucket has free, where
+//   V_i    is what it asked for in the last tick in which it asked,
+//   sum V  is what all tenants asked for in that tick,
+//   mu_i   is the tokens that it has of its own,
+//   W      is the capacity to share: what this gateway's backends served in that tick without pressure, since
+//          they can be expected to serve as much again. It is zero where the tick saw a rejection as full, or
+//          an answer past its latency objective.
 //
 // Invariant: only the last kTicks ticks are kept; demand older than that grants nothing.
 class DemandShare {
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -21,7 +21,7 @@
   if (!request.attempts.empty() && !retry_policy_.AllowsEndpoint(request, backend->endpoint)) return false;
   if (backend->outlier.IsOnProbation() && backend->attempts_in_flight > 0) return false;
   if (!backend->limiter.HasRoom(backend->attempts_in_flight)) return false;
-  return !backend->warm_up.IsActive() || slow_start_.HasBudget(&backend->warm_up, now_s);
+  return !backend->warm_up.IsActive() || slow_start_.RefillAndCheckBudget(&backend->warm_up, now_s);
 }
 
 inline double EndpointSelector::Cost(const InFlightRequest& request, const Backend& backend) const {
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -16,8 +16,9 @@
 // attempt of this request already. Ties are broken at random. A backend that warms up and has budget left
 // goes first.
 //
-// A backend may be used if it is ready, is not ejected or, on probation, busy, its concurrency limit has
-// room, slow start allows it work, and RetryPolicy allows it for this request.
+// A backend may be used if it is ready and not ejected, has no attempt in flight while it is on probation,
+// has room under its concurrency limit, is allowed work by slow start, and is allowed by RetryPolicy for this
+// request.
 class EndpointSelector {
  public:
   enum class Candidates { kAll, kWarmingUp };
--- a/src/policy/in_flight_request.h
+++ b/src/policy/in_flight_request.h
@@ -18,13 +18,13 @@
 struct InFlightRequest {
   InFlightRequest() = default;
   InFlightRequest(const Request& arrived, double now_s)
-      : request(arrived), deadline_s(now_s + arrived.time_left_s) {}
+      : request(arrived), deadline_at_s(now_s + arrived.time_left_s) {}
 
   // No attempt has been made: the request waits for the counter's reply.
   bool IsWaitingForCounter() const { return attempts.empty(); }
 
   Request request;
-  double deadline_s = 0;
+  double deadline_at_s = 0;       // clock
   std::vector<Attempt> attempts;  // in the order in which they were forwarded
   int attempts_in_flight = 0;
   bool finished = false;  // its final answer is given, or its client has left; attempts may be in flight
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -24,9 +24,8 @@
 constexpr double kMaxRelativeError = 2;
 constexpr double kRecoveryPerS = 0.05;
 
-// Latency shares that stand for outcomes without a latency. Both give the largest error.
-constexpr double kRejectionLatencyShare = 1;
-constexpr double kDeadlineLatencyShare = 2;
+// Latency share that stands for an outcome without a latency: it gives the largest error.
+constexpr double kOverloadLatencyShare = 1;
 
 }  // namespace
 
@@ -56,9 +55,9 @@
   Recover(now_s);
 }
 
-void LoadShedder::RecordRejection(double now_s) { RecordLatency(kRejectionLatencyShare, now_s); }
+void LoadShedder::RecordRejection(double now_s) { RecordLatency(kOverloadLatencyShare, now_s); }
 
-void LoadShedder::RecordDeadlineExceeded(double now_s) { RecordLatency(kDeadlineLatencyShare, now_s); }
+void LoadShedder::RecordDeadlineExceeded(double now_s) { RecordLatency(kOverloadLatencyShare, now_s); }
 
 void LoadShedder::Recover(double now_s) {
   admitted_share_ = std::min(1.0, admitted_share_ + kRecoveryPerS * (now_s - recovered_s_));
--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -10,7 +10,8 @@
 constexpr double kRelativeLatencyWeight = 0.05;
 constexpr double kMaxRelativeLatency = 5;
 
-bool IsAnswer(CallResult result) {
+// The backend has said something, so that its process is there.
+bool IsFromBackend(CallResult result) {
   return result == CallResult::kOk || result == CallResult::kRejected || result == CallResult::kError;
 }
 
@@ -21,7 +22,7 @@
 void OutcomeFeedback::Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
                              const AttemptOutcome& outcome, double now_s, Actions* actions) {
   bool silent = backend->IsSilentSince(attempt.sent_s);
-  if (IsAnswer(outcome.result)) backend->last_response_s = now_s;
+  if (IsFromBackend(outcome.result)) backend->last_response_s = now_s;
   switch (outcome.result) {
     case CallResult::kOk: {
       double cost_units =
--- a/src/policy/outcome_feedback.h
+++ b/src/policy/outcome_feedback.h
@@ -15,12 +15,11 @@
 namespace gateway::policy {
 
 // Passes each outcome to the rules that learn from it:
-//   answer           estimator, outlier detector, concurrency limiter, load shedder, slow start
-//   rejection        concurrency limiter, load shedder, demand share
-//   time-out         as a rejection if the backend has answered others meanwhile, else as a failure
-//   error            outlier detector
-//   failed or reset connection  outlier detector and, from a silent backend, slow start
-//   cancellation     outlier detector, if the backend was silent and other attempts are in flight there
+//   success          estimator, outlier detector, concurrency limiter, load shedder, slow start; demand share
+//   if late rejection        concurrency limiter, load shedder, demand share time-out         as a rejection
+//   if the backend has answered others meanwhile, else as a failure error            outlier detector failed
+//   or reset connection  outlier detector and, from a silent backend, slow start cancellation     outlier
+//   detector, if the backend was silent and other attempts are in flight there
 class OutcomeFeedback {
  public:
   // The references must outlive this.
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -35,8 +35,8 @@
 
   double failure_rate_ = 0;
   double ejected_until_s_ = 0;
-  double ejection_s_ = 0;  // length of the last ejection; 0: none lately
-  bool on_probation_ = false;
+  double ejection_s_ = 0;      // length of the last ejection; 0: none lately
+  bool on_probation_ = false;  // from the ejection until the next success
 };
 
 }  // namespace gateway::policy
--- a/src/policy/quota_check.h
+++ b/src/policy/quota_check.h
@@ -19,8 +19,8 @@
 
 struct QuotaAssessment {
   QuotaDecision decision = QuotaDecision::kOverQuota;
-  // Probability that the fleet-wide quotas cover the request, by what is known now. Only for tenants that
-  // come through several gateways: for others the decision is certain.
+  // Probability that the fleet-wide quotas cover the request, by what is known now. 0 for a tenant with a
+  // rate quota that comes through one gateway alone, where the decision is certain.
   double probability_within = 0;
 };
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -34,7 +34,7 @@
 
 bool RetryPolicy::MayRetry(const InFlightRequest& request, double now_s) const {
   if (!EffectAllowsAttempt(request, now_s) || budget_ < 1) return false;
-  return request.deadline_s - now_s >= estimator_.ExpectedLatencyS(request.request);
+  return request.deadline_at_s - now_s >= estimator_.ExpectedLatencyS(request.request);
 }
 
 bool RetryPolicy::SharesIdempotencyKeys(const InFlightRequest& request, const Endpoint& endpoint) const {
@@ -48,7 +48,8 @@
   return false;
 }
 
-bool RetryPolicy::ShouldHedge(const InFlightRequest& request, const Backend* backend, double now_s) const {
+bool RetryPolicy::ShouldHedgeOrCancel(const InFlightRequest& request, const Backend* backend,
+                                      double now_s) const {
   // A backend that hangs answers nobody, where a busy one would answer others meanwhile.
   const Attempt& last = request.attempts.back();
   if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_s)) return false;
@@ -61,12 +62,12 @@
   double expected_s = estimator_.ExpectedLatencyS(request.request) * slowness;
   double check_s = std::max(kCheckObjectiveShare * ClassOf(request).latency_objective_s,
                             kCheckExpectedMultiple * expected_s);
-  double left_s = request.deadline_s - kCheckMarginResolutions * settings_.timer_resolution_s - now_s;
+  double left_s = request.deadline_at_s - kCheckMarginResolutions * settings_.timer_resolution_s - now_s;
   return std::max(0.0, std::min(left_s, check_s));
 }
 
 bool RetryPolicy::IsOutOfTime(const InFlightRequest& request, double now_s) const {
-  return now_s >= request.deadline_s - kOutOfTimeResolutions * settings_.timer_resolution_s;
+  return now_s >= request.deadline_at_s - kOutOfTimeResolutions * settings_.timer_resolution_s;
 }
 
 bool RetryPolicy::MayReject(const InFlightRequest& request) const {
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -37,7 +37,7 @@
   }
 
   // Whether the last attempt's backend is silent, and the request may get another attempt for that reason.
-  bool ShouldHedge(const InFlightRequest& request, const Backend* backend, double now_s) const;
+  bool ShouldHedgeOrCancel(const InFlightRequest& request, const Backend* backend, double now_s) const;
 
   // Delay until the request is looked at next: its backend may be silent by then, or its time nearly over.
   // `backend`: of its last attempt, or null.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -35,7 +35,7 @@
   if (now_s - last_response_s > kUnreachableS) Begin(backend, now_s, now_s);
 }
 
-bool SlowStart::HasBudget(WarmUp* backend, double now_s) const {
+bool SlowStart::RefillAndCheckBudget(WarmUp* backend, double now_s) const {
   double duration_s = std::max(kMinDurationS, settings_.slow_start_duration_s);
   double progress = std::max(0.0, now_s - backend->since_s_) / duration_s;
   if (progress >= 1) {
@@ -44,10 +44,10 @@
   }
   double initial = settings_.slow_start_initial_fraction;
   double fraction = initial + (1 - initial) * progress;
-  double one_core =
+  double one_core_part =
       settings_.overload_multiple * kOverloadMultipleShare / std::max(1, settings_.gateway_count);
   double warm_work_s = warm_work_s_ * std::exp(-(now_s - warm_updated_s_) / kWarmWorkDecayS);
-  double work_per_s = fraction * std::max(one_core, kWarmWorkShare * warm_work_s / kWarmWorkDecayS);
+  double work_per_s = fraction * std::max(one_core_part, kWarmWorkShare * warm_work_s / kWarmWorkDecayS);
   double refilled_s = backend->budget_s_ + work_per_s * (now_s - backend->updated_s_);
   backend->budget_s_ = std::min(kMaxSavedS * work_per_s, refilled_s);
   backend->updated_s_ = now_s;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -50,7 +50,7 @@
 
   // Refills the budget and returns whether any is left. Ends a warm-up whose time is over. Only for backends
   // that warm up.
-  bool HasBudget(WarmUp* backend, double now_s) const;
+  bool RefillAndCheckBudget(WarmUp* backend, double now_s) const;
 
   // Number of backends that are ready and warmed up, over which the work they serve is averaged.
   void SetWarmBackendCount(int count) { warm_backends_ = count; }
--- a/src/policy/tenant_quota.cpp
+++ b/src/policy/tenant_quota.cpp
@@ -129,12 +129,6 @@
   return unreported_units_ > 0 && age_s > kReportMaxAgeWindows * WindowSeconds(*plan_);
 }
 
-double TenantQuota::TakeUnreported() {
-  double units = unreported_units_;
-  unreported_units_ = 0;
-  return units;
-}
-
 TenantQuota::TotalResult TenantQuota::ApplyTotal(double reported_units, double total, double now_s,
                                                  double max_request_units) {
   TotalResult result;
--- a/src/policy/tenant_quota.h
+++ b/src/policy/tenant_quota.h
@@ -78,15 +78,14 @@
   // Takes `units` for a forwarded request; negative units are given back.
   void Charge(double units);
 
-  // Lets `units` of a charged request stand for more or fewer in the next report (counter_schedule.h).
-  void AdjustUnreported(double units) { unreported_units_ += units; }
+  // Lets a request stand for more or fewer units in the next report than it was charged (counter_schedule.h),
+  // or makes units due again whose report surely was not added.
+  void AddUnreported(double units) { unreported_units_ += units; }
 
   // Whether the units not yet reported are many enough, or old enough, for a call.
   bool IsReportDue(double now_s) const;
-  // Returns the units to report, which count as reported from now on.
-  double TakeUnreported();
-  // A report that surely was not added: its units are due again.
-  void RestoreUnreported(double units) { unreported_units_ += units; }
+  // The unreported units have been handed to a call.
+  void MarkReported() { unreported_units_ = 0; }
 
   // A total of the current window, read with a report of `reported_units` included.
   TotalResult ApplyTotal(double reported_units, double total, double now_s, double max_request_units);
--- a/src/simulator/wire_protocol.h
+++ b/src/simulator/wire_protocol.h
@@ -1,6 +1,6 @@
-// Codes and sizes of the simulator's wire protocol. The only place where the protocol's own names, given
-// beside each code, meet the terms that the code uses; docs/GLOSSARY.md lists the fields. Source: WIRE 3
-// to 9.
+// Codes and sizes of the simulator's wire protocol (WIRE, sections 3 to 9). Here the protocol's own names,
+// given beside each code, meet the terms that the code uses; frame_reader and frame_writer do the same for
+// the fields.
 #ifndef GATEWAY_SIMULATOR_WIRE_PROTOCOL_H_
 #define GATEWAY_SIMULATOR_WIRE_PROTOCOL_H_
 
