--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -136,8 +136,7 @@
   if (!tenant) return http::status::bad_request;
   request.tenant = *tenant;
 
-  const policy::ClassSettings& class_settings =
-      config.settings.classes[static_cast<size_t>(request.request_class)];
+  const policy::ClassSettings& class_settings = config.settings.ClassAt(request.request_class);
   auto timeout_s = ParseTimeout(message, class_settings.deadline_s);
   if (!timeout_s) return http::status::bad_request;
   parsed.timeout_s = *timeout_s;
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -70,23 +70,23 @@
     most =
         std::max(most, settings_.classes[i].priority_weight / estimator_.MeanLatencyS(static_cast<int>(i)));
   }
-  const ClassSettings& request_class = settings_.classes[static_cast<size_t>(request.request_class)];
+  const ClassSettings& request_class = settings_.ClassAt(request.request_class);
   double value = request_class.priority_weight / estimator_.MeanLatencyS(request.request_class);
   double relative = most > 0 ? value / most : 1;
   return IsLateRetry(request) ? relative * request_class.late_value_share : relative;
 }
 
 bool LoadShedder::IsLateRetry(const Request& request) const {
-  auto index = static_cast<size_t>(request.request_class);
-  const ClassSettings& request_class = settings_.classes[index];
-  bool is_retry = request.time_left_s < max_time_left_s_[index] - settings_.timer_resolution_s;
+  const ClassSettings& request_class = settings_.ClassAt(request.request_class);
+  double max_time_left_s = max_time_left_s_[static_cast<size_t>(request.request_class)];
+  bool is_retry = request.time_left_s < max_time_left_s - settings_.timer_resolution_s;
   return is_retry && request_class.deadline_s - request.time_left_s > request_class.latency_objective_s;
 }
 
 bool LoadShedder::ShouldShed(const Request& request, bool borrowed, const EndpointSet& endpoints,
                              double now_s) {
   Recover(now_s);
-  const ClassSettings& request_class = settings_.classes[static_cast<size_t>(request.request_class)];
+  const ClassSettings& request_class = settings_.ClassAt(request.request_class);
   bool idle = attempts_in_flight_ == 0 && now_s - last_outcome_s_ > request_class.latency_objective_s;
   if (idle && !borrowed) return false;
   double limit_share = kMinLimitShare + (1 - kMinLimitShare) * RelativeValue(request);
--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -60,7 +60,7 @@
   ServiceEstimator::Sample sample = estimator_.RecordResponse(request.request_class, cost_units, latency_s);
   double relative_latency = std::min(sample.relative_latency, kMaxRelativeLatency);
   backend->relative_latency += kRelativeLatencyWeight * (relative_latency - backend->relative_latency);
-  double objective_s = settings_.classes[static_cast<size_t>(request.request_class)].latency_objective_s;
+  double objective_s = settings_.ClassAt(request.request_class).latency_objective_s;
   double latency_share = sample.cost_adjusted_s / objective_s;
   load_shedder_.RecordLatency(latency_share, now_s);
   if (latency_s > objective_s) demand_share_.RecordPressure(now_s);
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -52,7 +52,7 @@
   static constexpr double kMaxBudget = 20;
 
   const ClassSettings& ClassOf(const InFlightRequest& request) const {
-    return settings_.classes[static_cast<size_t>(request.request.request_class)];
+    return settings_.ClassAt(request.request.request_class);
   }
   bool SharesIdempotencyKeys(const InFlightRequest& request, const Endpoint& endpoint) const;
   bool EffectAllowsAttempt(const InFlightRequest& request, double now_s) const;
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -2,6 +2,7 @@
 #ifndef GATEWAY_POLICY_SETTINGS_H_
 #define GATEWAY_POLICY_SETTINGS_H_
 
+#include <cstddef>
 #include <vector>
 
 namespace gateway::policy {
@@ -40,6 +41,11 @@
 };
 
 struct Settings {
+  // `request_class`: a valid index into `classes`.
+  const ClassSettings& ClassAt(int request_class) const {
+    return classes[static_cast<size_t>(request_class)];
+  }
+
   int gateway_count = 0;
   int zone = 0;  // of this gateway
   double timer_resolution_s = 0;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -12,7 +12,6 @@
 class WarmUp {
  public:
   bool IsActive() const { return since_s_ > 0; }
-  double since_s() const { return since_s_; }
   // Takes an attempt's expected work from the budget.
   void Charge(double work_s) {
     if (IsActive()) budget_s_ -= work_s;
