--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -123,7 +123,7 @@
     InFlightRequest& request = it->second;
     if (retry_policy_.IsOutOfTime(request, now_s)) {
       // Time in which this process stood still says nothing of the backends' load.
-      if (retry_policy_.IsOutOfRunningTime(request, running_clock_.At(now_s))) {
+      if (retry_policy_.IsOutOfTimeByRunningClock(request, running_clock_.At(now_s))) {
         load_shedder_.RecordDeadlineExceeded(now_s);
       }
       return FinishWithoutResponse(&request, actions);
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -70,7 +70,7 @@
   return now_s >= request.deadline_at_s - kOutOfTimeResolutions * settings_.timer_resolution_s;
 }
 
-bool RetryPolicy::IsOutOfRunningTime(const InFlightRequest& request, double running_s) const {
+bool RetryPolicy::IsOutOfTimeByRunningClock(const InFlightRequest& request, double running_s) const {
   return running_s >= request.deadline_at_running_s - kOutOfTimeResolutions * settings_.timer_resolution_s;
 }
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -45,7 +45,7 @@
   // Whether so little time is left that the final answer has to go out now, before the client gives up.
   bool IsOutOfTime(const InFlightRequest& request, double now_s) const;
   // The same by RunningClock.
-  bool IsOutOfRunningTime(const InFlightRequest& request, double running_s) const;
+  bool IsOutOfTimeByRunningClock(const InFlightRequest& request, double running_s) const;
 
   // Whether the final answer may promise that the request had no effect, or that repeating it has none.
   bool MayReject(const InFlightRequest& request) const;
