--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -5,17 +5,17 @@
 namespace gateway::policy {
 namespace {
 
-// Factors on the cost of a backend.
+// Factors by which the cost of a backend is multiplied.
 constexpr double kOtherZoneFactor = 1.5;
 constexpr double kWarmingUpFactor = 0.3;
 constexpr double kMinRandomFactor = 0.95;
 constexpr double kRandomFactorRange = 0.1;
-// Added for each attempt that the request has had there: more than any other cost.
+// Added for each attempt that the request has already had at the backend. Larger than any other cost.
 constexpr double kRepeatedBackendCost = 100;
 
 }  // namespace
 
-// Both run for every backend of every request.
+// IsUsable and Cost are inline because they run for every backend on every request.
 inline bool EndpointSelector::IsUsable(const InFlightRequest& request, Backend* backend, double now_s) const {
   if (!backend->IsReady()) return false;
   if (!request.attempts.empty() && !retry_policy_.AllowsEndpoint(request, backend->endpoint)) return false;
@@ -37,19 +37,19 @@
 }
 
 bool EndpointSelector::MayExcludeEjected(double now_s) const {
-  int ready = 0;
-  int ejected = 0;
+  int ready_count = 0;
+  int ejected_count = 0;
   for (const Backend& backend : endpoints_.backends()) {
     if (!backend.IsReady()) continue;
-    ++ready;
-    if (backend.outlier.IsEjected(now_s)) ++ejected;
+    ++ready_count;
+    if (backend.outlier.IsEjected(now_s)) ++ejected_count;
   }
-  return OutlierDetector::MayExclude(ejected, ready);
+  return OutlierDetector::MayExclude(ejected_count, ready_count);
 }
 
 Backend* EndpointSelector::Select(const InFlightRequest& request, double now_s, Candidates candidates) {
   slow_start_.SetWarmBackendCount(endpoints_.WarmCount());
-  std::optional<bool> exclude_ejected;  // counted only where a backend is ejected
+  std::optional<bool> exclude_ejected;  // determined at the first ejected backend
   Backend* best = nullptr;
   double best_cost = 0;
   for (Backend& backend : endpoints_.backends()) {
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -1,4 +1,4 @@
-// The choice of a backend for an attempt.
+// Load balancing: selects the backend for an attempt.
 #ifndef GATEWAY_POLICY_ENDPOINT_SELECTOR_H_
 #define GATEWAY_POLICY_ENDPOINT_SELECTOR_H_
 
@@ -11,19 +11,23 @@
 
 namespace gateway::policy {
 
-// Rule: of the backends that may be used, the one with the least expected latency: relative latency x (own
-// attempts in flight + 1), raised for failures, for another zone, and most for a backend that has had an
-// attempt of this request already. Ties are broken at random. A backend that warms up and has budget left
-// goes first.
+// Selects the usable backend with the lowest cost. The cost is the expected latency, relative latency x (this
+// gateway's attempts in flight there + 1). It is increased for failures and for a backend in another zone,
+// and most for a backend that has already had an attempt of this request. It is reduced for a backend that is
+// warming up, so that such a backend is preferred as long as it has budget left. A random factor breaks ties.
 //
-// A backend may be used if it is ready and not ejected, has no attempt in flight while it is on probation,
-// has room under its concurrency limit, is allowed work by slow start, and is allowed by RetryPolicy for this
-// request.
+// A backend is usable if all of the following hold:
+// - it is ready and not ejected;
+// - it is not on probation, or has no attempt in flight;
+// - it has room under its concurrency limit;
+// - SlowStart allows it more work;
+// - RetryPolicy allows it for this request.
 class EndpointSelector {
  public:
+  // Which backends Select considers: all, or only those that are warming up.
   enum class Candidates { kAll, kWarmingUp };
 
-  // The references must outlive this.
+  // The arguments must outlive the selector.
   EndpointSelector(const Settings& settings, const RetryPolicy& retry_policy, EndpointSet* endpoints,
                    SlowStart* slow_start, RandomSource* random)
       : zone_(settings.zone),
@@ -32,17 +36,17 @@
         slow_start_(*slow_start),
         random_(*random) {}
 
-  // Returns null where no backend may be used. Draws a random number for each candidate.
+  // Returns null if no backend is usable. Draws one random number for each usable candidate.
   Backend* Select(const InFlightRequest& request, double now_s, Candidates candidates = Candidates::kAll);
 
  private:
-  // Whether ejected backends are left out: not where too many are.
+  // Returns whether ejected backends are excluded. They are not if too many backends are ejected.
   bool MayExcludeEjected(double now_s) const;
-  // Of a backend that is not left out as ejected. Refills the budget of one that warms up.
+  // Checks all conditions but ejection. Refills the slow start budget of a backend that is warming up.
   bool IsUsable(const InFlightRequest& request, Backend* backend, double now_s) const;
   double Cost(const InFlightRequest& request, const Backend& backend) const;
 
-  const int zone_;  // of this gateway
+  const int zone_;  // zone of this gateway
   const RetryPolicy& retry_policy_;
   EndpointSet& endpoints_;
   SlowStart& slow_start_;
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -18,7 +18,7 @@
   if (backend == nullptr) {
     if (endpoint.state == EndpointState::kRemoved) return;
     backend = &backends_.emplace_back();
-    backend->last_response_s = now_s;
+    backend->last_response_at_s = now_s;
   }
   bool restarted = endpoint.started_s > 0 && endpoint.started_s != backend->endpoint.started_s;
   backend->endpoint = endpoint;
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,4 +1,4 @@
-// The backends as discovery lists them, each with what this gateway has learnt of it.
+// The backends that discovery lists, each with the load balancing state that this gateway keeps for it.
 #ifndef GATEWAY_POLICY_ENDPOINT_SET_H_
 #define GATEWAY_POLICY_ENDPOINT_SET_H_
 
@@ -13,34 +13,36 @@
 
 namespace gateway::policy {
 
+// One backend. The load balancing state reflects only the attempts of this gateway.
 struct Backend {
   bool IsReady() const { return endpoint.state == EndpointState::kReady; }
-  // Whether it has answered nothing since then.
-  bool IsSilentSince(double since_s) const { return last_response_s <= since_s; }
+  // Returns whether the backend has sent no response after `since_s`.
+  bool IsSilentSince(double since_s) const { return last_response_at_s <= since_s; }
 
   Endpoint endpoint;
   int attempts_in_flight = 0;
-  double relative_latency = 1;  // mean latency of its answers over that of all backends
-  double last_response_s = 0;   // clock of its last answer, or of when it was first listed
+  double relative_latency = 1;    // mean latency of its responses, relative to that of all backends
+  double last_response_at_s = 0;  // time of its last response; before the first, time when it was listed
   OutlierDetector outlier;
   ConcurrencyLimiter limiter;
   WarmUp warm_up;
 };
 
-// Owns the backends. Pointers stay valid until the next ApplyUpdate.
-//
-// Invariant: a backend that is removed from the list stays, as kRemoved, until its last attempt has
+// A backend that has been removed from the endpoint list is kept in state kRemoved until its last attempt has
 // ended.
+//
+// The set owns the backends. Pointers to them stay valid until the next call of ApplyUpdate.
 class EndpointSet {
  public:
-  // Attempts in flight at the ready backends, and what their limits allow.
+  // The attempts in flight at all ready backends and the sum of the concurrency limits of these backends.
   struct Load {
     double in_flight = 0;
     double limit = 0;
   };
 
-  // A complete list removes what it does not name; a delta changes only what it names. A start that is newer
-  // than the one known puts the backend into slow start.
+  // Applies an endpoint list from discovery. A complete list removes the backends that it does not contain; a
+  // delta changes only the backends that it contains. A backend with a new start time enters slow
+  // start, unless that start is longer ago than the slow start duration.
   void ApplyUpdate(EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints, double now_s,
                    SlowStart* slow_start);
 
@@ -51,13 +53,14 @@
   }
 
   std::vector<Backend>& backends() { return backends_; }
-  // Backends that are ready and warmed up.
+  // Returns the number of backends that are ready and warmed up.
   int WarmCount() const {
     auto is_warm = [](const Backend& backend) { return backend.IsReady() && !backend.warm_up.IsActive(); };
     return static_cast<int>(std::count_if(backends_.begin(), backends_.end(), is_warm));
   }
 
-  // Runs for every request: defined here, where it is inlined, since the sums then stay in registers.
+  // Does not count the attempts in flight that exceed a backend's concurrency limit. Runs for every request,
+  // so it is defined in the header: when it is inlined, the sums stay in registers.
   Load ReadyLoad() const {
     Load load;
     for (const Backend& backend : backends_) {
--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -22,7 +22,7 @@
 void OutcomeFeedback::Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
                              const AttemptOutcome& outcome, double now_s, Actions* actions) {
   bool silent = backend->IsSilentSince(attempt.sent_s);
-  if (IsFromBackend(outcome.result)) backend->last_response_s = now_s;
+  if (IsFromBackend(outcome.result)) backend->last_response_at_s = now_s;
   switch (outcome.result) {
     case CallResult::kOk: {
       double cost_units =
@@ -83,7 +83,7 @@
 }
 
 void OutcomeFeedback::RecordConnectionFailure(Backend* backend, double now_s, Actions* actions) {
-  slow_start_.BeginIfUnreachable(&backend->warm_up, backend->last_response_s, now_s);
+  slow_start_.BeginIfUnreachable(&backend->warm_up, backend->last_response_at_s, now_s);
   RecordFailure(backend, now_s, actions);
 }
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,4 +1,4 @@
-// How much work a backend may be sent while it warms up.
+// Slow start: limits the work that a backend is sent while it warms up after a start.
 #ifndef GATEWAY_POLICY_SLOW_START_H_
 #define GATEWAY_POLICY_SLOW_START_H_
 
@@ -8,61 +8,65 @@
 
 namespace gateway::policy {
 
-// One backend's state.
+// The warm-up state of one backend.
 class WarmUp {
  public:
-  bool IsActive() const { return since_s_ > 0; }
-  // Takes an attempt's expected work from the budget.
+  bool IsActive() const { return started_at_s_ > 0; }
+  // Deducts the expected work of an attempt from the budget. Does nothing for a warmed-up backend.
   void Charge(double work_s) {
     if (IsActive()) budget_s_ -= work_s;
   }
 
  private:
   friend class SlowStart;
-  double since_s_ = 0;    // clock of its start, as notified or assumed; 0: warmed up
-  double budget_s_ = 0;   // work that may be sent, in seconds of expected latency
-  double updated_s_ = 0;  // clock up to which the budget has been refilled
+  double started_at_s_ = 0;   // when it started, by discovery or as assumed; 0: warmed up
+  double budget_s_ = 0;       // work that it may still be sent, in seconds of expected latency
+  double refilled_at_s_ = 0;  // when the budget was last refilled
 };
 
-// Rule: a backend that warms up has a fraction of its full capacity, which rises evenly from the settings'
-// initial fraction to 1 over the settings' duration. Its budget of work, in seconds, refills at that fraction
-// of what this gateway now sends to a warmed-up backend. So all gateways together send it no more than its
-// fraction of what the others take. Where the backends are little used that would be next to nothing, so the
-// budget refills at least at this gateway's even part of what a backend of one core bears.
+// A backend that is warming up has a fraction of its full capacity. The fraction rises linearly from
+// Settings::slow_start_initial_fraction to 1 over Settings::slow_start_duration_s. The backend has a budget
+// of work, in seconds of expected latency, which refills at that fraction of the work that this gateway
+// currently sends to one warmed-up backend. So all gateways together send it no more than its fraction of
+// what a warmed-up backend receives. If the backends are nearly idle, this rate would be close to zero. The
+// budget therefore refills at no less than this gateway's equal share of what a backend with one core can
+// take.
 //
-// Guards against two failures: a warming-up backend that collapses under the sum of all gateways, and a burst
-// of all gateways onto the first backend that returns.
+// This prevents two failures: a warming-up backend collapses under the combined load of all gateways, and all
+// gateways send a burst to the first backend that comes back.
 class SlowStart {
  public:
-  // The references must outlive this.
+  // The arguments must outlive this object.
   SlowStart(const Settings& settings, const ServiceEstimator& estimator, RandomSource* random)
       : settings_(settings), estimator_(estimator), random_(*random) {}
 
-  // The backend warms up from `since_s` on. The budget starts below zero by a random part of a request:
-  // otherwise hundreds of gateways, each with room for less than one, would all send one at once.
-  void Begin(WarmUp* backend, double since_s, double now_s);
-  // The same where discovery has told of a restart, unless it is over by now. Returns whether it is not.
-  bool BeginAfterRestart(WarmUp* backend, double started_s, double now_s);
-  // The same where an attempt could not connect. A process that takes no connection and has answered nothing
-  // for a while may be starting; one that rejects some connections and serves others is not.
-  void BeginIfUnreachable(WarmUp* backend, double last_response_s, double now_s);
+  // Begins the warm-up of a backend that started at `started_at_s`. The budget starts at a random value
+  // between zero and minus the work of one request. Otherwise hundreds of gateways, each with a budget of
+  // less than one request, would all send one at the same time.
+  void Begin(WarmUp* backend, double started_at_s, double now_s);
+  // Begins the warm-up of a backend whose restart discovery has reported. Returns false and does nothing if
+  // the warm-up would already be over.
+  bool BeginAfterRestart(WarmUp* backend, double started_at_s, double now_s);
+  // Begins a warm-up after a failed connection, if the backend has sent no response for some time. Such a
+  // process may be starting. A process that rejects some connections and serves others is not starting.
+  void BeginIfUnreachable(WarmUp* backend, double last_response_at_s, double now_s);
 
-  // Refills the budget and returns whether any is left. Ends a warm-up whose time is over. Only for backends
-  // that warm up.
+  // Refills the budget of a backend that is warming up and returns whether any is left. Ends the warm-up and
+  // returns true if its duration is over.
   bool RefillAndCheckBudget(WarmUp* backend, double now_s) const;
 
-  // Number of backends that are ready and warmed up, over which the work they serve is averaged.
-  void SetWarmBackendCount(int count) { warm_backends_ = count; }
-  // A warmed-up backend has answered.
+  // Sets the number of backends that are ready and warmed up. The work that they serve is averaged over them.
+  void SetWarmBackendCount(int count) { warm_backend_count_ = count; }
+  // Records a successful response of a warmed-up backend.
   void RecordWarmResponse(const Request& request, double now_s);
 
  private:
   const Settings& settings_;
   const ServiceEstimator& estimator_;
   RandomSource& random_;
-  int warm_backends_ = 0;
-  double warm_work_s_ = 0;     // work served by one warmed-up backend, with exponential decay
-  double warm_updated_s_ = 0;  // clock of that
+  int warm_backend_count_ = 0;
+  double warm_work_s_ = 0;             // work served by one warmed-up backend, with exponential decay
+  double warm_work_updated_at_s_ = 0;  // when `warm_work_s_` was last updated
 };
 
 }  // namespace gateway::policy
