--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -7,19 +7,21 @@
 namespace {
 
 constexpr double kMaxLimit = 200;
-// Below this mean latency share there is no queue.
+// Mean latency share below which no queue is assumed.
 constexpr double kNoQueueLatencyShare = 0.2;
 constexpr double kCutFactor = 0.7;
 constexpr double kMinCutIntervalS = 0.1;
-// Weight of one answer in the mean, at least; more where answers are rare, as the mean ages over this time.
+// Minimum weight of one response in the mean.
 constexpr double kMinSampleWeight = 0.15;
-constexpr double kMeanAgeS = 0.7;
+// Time constant by which the mean decays. It gives a response a higher weight than the minimum when responses
+// are rare.
+constexpr double kMeanDecayS = 0.7;
 
 }  // namespace
 
 void ConcurrencyLimiter::RecordResponse(double latency_share, int attempts_in_flight, double now_s) {
-  double weight = std::max(kMinSampleWeight, 1 - std::exp(-(now_s - response_s_) / kMeanAgeS));
-  response_s_ = now_s;
+  double weight = std::max(kMinSampleWeight, 1 - std::exp(-(now_s - last_response_at_s_) / kMeanDecayS));
+  last_response_at_s_ = now_s;
   mean_latency_share_ += weight * (std::clamp(latency_share, 0.0, 2.0) - mean_latency_share_);
   if (mean_latency_share_ > kQueueLatencyShare) {
     Cut(attempts_in_flight, now_s);
@@ -29,8 +31,8 @@
 }
 
 void ConcurrencyLimiter::Cut(int attempts_in_flight, double now_s) {
-  if (now_s - cut_s_ < kMinCutIntervalS) return;
-  cut_s_ = now_s;
+  if (now_s - last_cut_at_s_ < kMinCutIntervalS) return;
+  last_cut_at_s_ = now_s;
   limit_ = std::max(1.0, std::min<double>(limit_, attempts_in_flight + 1) * kCutFactor);
 }
 
--- a/src/policy/concurrency_limiter.h
+++ b/src/policy/concurrency_limiter.h
@@ -1,24 +1,28 @@
-// The limit on this gateway's attempts in flight at one backend.
+// Adaptive limit on the attempts that this gateway has in flight at one backend.
 #ifndef GATEWAY_POLICY_CONCURRENCY_LIMITER_H_
 #define GATEWAY_POLICY_CONCURRENCY_LIMITER_H_
 
 namespace gateway::policy {
 
-// One backend's state. Rule (additive increase, multiplicative decrease): the limit is cut where the mean
-// latency of the backend's answers, over the latency objective, shows a queue, or where the backend rejects;
-// it grows by at most one an answer while there is none and the limit is used. This keeps queues short
-// whatever made them: overload, a slow backend, or many gateways that chose the same one.
+// The limit follows additive increase, multiplicative decrease. It is cut when the backend rejects an
+// attempt, or when the mean latency of its responses, as a share of the latency objective, indicates a queue.
+// It grows by at most one per response while there is no queue and the limit is being used. This keeps queues
+// short regardless of their cause: overload, a slow backend, or many gateways that selected the same backend.
+//
+// Each object holds the state of one backend.
 class ConcurrencyLimiter {
  public:
-  // Mean answer latency over the objective at which a queue is assumed; the target of LoadShedder too.
+  // Mean latency, as a share of the latency objective, above which a queue is assumed. It is also the target
+  // of LoadShedder.
   static constexpr double kQueueLatencyShare = 0.27;
 
   double limit() const { return limit_; }
   bool HasRoom(int attempts_in_flight) const { return attempts_in_flight < limit_; }
 
-  // An answer came. `latency_share`: its latency, cost-adjusted, over its class's latency objective.
+  // Records a successful response. `latency_share` is its cost-adjusted latency as a share of the latency
+  // objective of its class.
   void RecordResponse(double latency_share, int attempts_in_flight, double now_s);
-  // The backend rejected an attempt, or one timed out in its queue.
+  // Records that the backend rejected an attempt or that an attempt timed out in its queue.
   void RecordRejection(int attempts_in_flight, double now_s) { Cut(attempts_in_flight, now_s); }
 
  private:
@@ -27,9 +31,9 @@
   void Cut(int attempts_in_flight, double now_s);
 
   double limit_ = kInitialLimit;
-  double cut_s_ = 0;               // clock of the last cut
-  double mean_latency_share_ = 0;  // decays with each answer
-  double response_s_ = 0;          // clock of the last answer
+  double last_cut_at_s_ = 0;
+  double mean_latency_share_ = 0;  // exponentially weighted moving average
+  double last_response_at_s_ = 0;
 };
 
 }  // namespace gateway::policy
--- a/src/policy/outlier_detector.cpp
+++ b/src/policy/outlier_detector.cpp
@@ -5,15 +5,15 @@
 namespace gateway::policy {
 namespace {
 
-// Weight of one answer in the failure rate.
+// Weights of one success and of one failure in the failure rate.
 constexpr double kSuccessWeight = 0.1;
 constexpr double kFailureWeight = 2 * kSuccessWeight;
-// Failures in a row give a rate of 0.2, 0.36 and 0.488: the third passes this.
+// Consecutive failures give rates of 0.2, 0.36 and 0.488, so the third one exceeds this threshold.
 constexpr double kEjectionThreshold = 0.48;
 constexpr double kMinEjectionS = 0.5;
 constexpr double kMaxEjectionS = 4.0;
-// Failure rate under which the next ejection starts from the shortest again.
-constexpr double kHealthyRate = 0.1;
+// Failure rate below which the length of the next ejection is reset to the minimum.
+constexpr double kHealthyFailureRate = 0.1;
 
 }  // namespace
 
@@ -29,10 +29,10 @@
 
 bool OutlierDetector::RecordSuccess() {
   failure_rate_ -= kSuccessWeight * failure_rate_;
-  if (failure_rate_ < kHealthyRate) ejection_s_ = 0;
-  bool returned = on_probation_;
+  if (failure_rate_ < kHealthyFailureRate) ejection_s_ = 0;
+  bool ended_probation = on_probation_;
   on_probation_ = false;
-  return returned;
+  return ended_probation;
 }
 
 }  // namespace gateway::policy
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -1,41 +1,49 @@
-// Ejection of a backend that fails, and its return.
+// Outlier detection: ejects a failing backend and lets it return on probation.
 #ifndef GATEWAY_POLICY_OUTLIER_DETECTOR_H_
 #define GATEWAY_POLICY_OUTLIER_DETECTOR_H_
 
 namespace gateway::policy {
 
-// One backend's state. Rule: a backend is ejected when its failure rate, an average that decays with each
-// answer, passes kEjectionThreshold; three failures in a row do. It gets no attempt for a time that doubles
-// with each ejection. After that it is on probation: one attempt at a time, whose failure ejects it again and
-// whose success ends the probation.
+// A backend is ejected when its failure rate exceeds kEjectionThreshold, for which three consecutive
+// failures are enough. The failure rate is an exponentially weighted moving average over its results. An
+// ejected backend gets no attempts for a time that doubles with each ejection. Then it is on probation: it
+// gets one attempt at a time. A failure ejects it again, and a success ends the probation.
 //
-// All ejections are ignored while more than a quarter of the ready backends is ejected (MayExclude): then the
-// fault is likely elsewhere. So with fewer than four ready backends none is in force. Probation always is.
+// While more than a quarter of the ready backends are ejected, all ejections are ignored (see MayExclude),
+// because the fault is then probably not in the backends. With fewer than four ready backends, ejections are
+// therefore never in force. Probation is always in force.
+//
+// Each object holds the state of one backend.
 class OutlierDetector {
  public:
-  // Whether so many ejected backends may be left out, of all that are ready.
-  static bool MayExclude(int ejected, int ready) { return ejected <= kMaxEjectedShare * ready; }
+  // Returns whether the ejected backends may be excluded from selection, given the numbers of ejected and of
+  // all ready backends.
+  static bool MayExclude(int ejected_count, int ready_count) {
+    return ejected_count <= kMaxEjectedShare * ready_count;
+  }
 
-  // Returns true where this failure ejects the backend.
+  // Returns true if this failure ejects the backend.
   bool RecordFailure(double now_s);
-  // Returns true where this success ends a probation.
+  // Returns true if this success ends a probation.
   bool RecordSuccess();
-  // The backend's process has restarted: it may be sent attempts again. A probation goes on.
+  // Records that the backend's process has restarted. Ends an ejection and clears the failure rate, but does
+  // not end a probation.
   void RecordRestart() { ejected_until_s_ = failure_rate_ = 0; }
 
   bool IsEjected(double now_s) const { return ejected_until_s_ > now_s; }
   bool IsOnProbation() const { return on_probation_; }
+  // Length of the last ejection in seconds, or 0 if the backend has been healthy since.
   double ejection_s() const { return ejection_s_; }
-  // Factor on the cost of choosing this backend.
-  double CostFactor() const { return 1 + kFailureCost * failure_rate_ * failure_rate_; }
+  // Factor by which EndpointSelector multiplies the cost of this backend.
+  double CostFactor() const { return 1 + kFailureCostWeight * failure_rate_ * failure_rate_; }
 
  private:
   static constexpr double kMaxEjectedShare = 0.25;
-  static constexpr double kFailureCost = 10;
+  static constexpr double kFailureCostWeight = 10;
 
   double failure_rate_ = 0;
   double ejected_until_s_ = 0;
-  double ejection_s_ = 0;      // length of the last ejection; 0: none lately
+  double ejection_s_ = 0;      // length of the last ejection; 0: healthy since
   bool on_probation_ = false;  // from the ejection until the next success
 };
 
