--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,35 +5,39 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kBudgetPerRequest = 0.1;
-// A silent attempt is looked at after this share of the latency objective, and after so many times what it is
-// expected to take: chance alone is rarer.
+constexpr double kRetryBudgetPerRequest = 0.1;
+// A request is checked for a silent backend after this share of its latency objective, but not before this
+// multiple of its expected latency: latencies that exceed both are rarely due to chance.
 constexpr double kCheckObjectiveShare = 0.5;
-constexpr double kCheckExpectedMultiple = 6;
-// The last check is due so many timer resolutions before the deadline: a timer may fire one resolution late,
-// and the final answer takes one to go out. A check counts as the last one resolution earlier, so that one
-// which fires early is not set anew.
+constexpr double kCheckExpectedLatencyMultiple = 6;
+// The last check is due this many timer resolutions before the deadline: a timer may fire one resolution
+// late, and sending the final answer takes another one. A check that runs up to one resolution earlier
+// already counts as the last one, so that a timer which fires early is not started again.
 constexpr double kCheckMarginResolutions = 2;
 constexpr double kOutOfTimeResolutions = kCheckMarginResolutions + 1;
+// Margin before the end of the deduplication window, in timer resolutions.
 constexpr double kDeduplicationMarginResolutions = 2;
 
 }  // namespace
 
-void RetryPolicy::RecordAdmission() { budget_ = std::min(kMaxBudget, budget_ + kBudgetPerRequest); }
+void RetryPolicy::RecordAdmission() {
+  retry_budget_ = std::min(kMaxRetryBudget, retry_budget_ + kRetryBudgetPerRequest);
+}
 
-bool RetryPolicy::EffectAllowsAttempt(const InFlightRequest& request, double now_s) const {
+bool RetryPolicy::AllowsAnotherAttempt(const InFlightRequest& request, double now_s) const {
   const ClassSettings& request_class = ClassOf(request);
   if (static_cast<int>(request.attempts.size()) >= settings_.max_attempts) return false;
   if (!request.may_have_run || request_class.idempotency == Idempotency::kIdempotent) return true;
   if (request_class.idempotency == Idempotency::kNonIdempotent) return false;
-  // What is sent now may leave only when its connection has come up.
+  // The attempt may have to wait for a new connection, so it may be sent as late as one connect timeout from
+  // now.
   double window_end_s = request.first_run_sent_s + request_class.deduplication_window_s -
                         kDeduplicationMarginResolutions * settings_.timer_resolution_s;
   return now_s + settings_.connect_timeout_s < window_end_s;
 }
 
 bool RetryPolicy::MayRetry(const InFlightRequest& request, double now_s) const {
-  if (!EffectAllowsAttempt(request, now_s) || budget_ < 1) return false;
+  if (!AllowsAnotherAttempt(request, now_s) || retry_budget_ < 1) return false;
   return request.deadline_at_s - now_s >= estimator_.ExpectedLatencyS(request.request);
 }
 
@@ -50,20 +54,21 @@
 
 bool RetryPolicy::ShouldHedgeOrCancel(const InFlightRequest& request, const Backend* backend,
                                       double now_s) const {
-  // A backend that hangs answers nobody, where a busy one would answer others meanwhile.
+  // A backend that hangs answers no request at all. A busy one still answers other requests.
   const Attempt& last = request.attempts.back();
   if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_s)) return false;
-  if (request.attempts_in_flight != 1 || budget_ < 1) return false;
-  return ClassOf(request).idempotency == Idempotency::kIdempotent && EffectAllowsAttempt(request, now_s);
+  if (request.attempts_in_flight != 1 || retry_budget_ < 1) return false;
+  return ClassOf(request).idempotency == Idempotency::kIdempotent && AllowsAnotherAttempt(request, now_s);
 }
 
 double RetryPolicy::CheckDelayS(const InFlightRequest& request, const Backend* backend, double now_s) const {
-  double slowness = backend != nullptr ? std::max(1.0, backend->relative_latency) : 1;
-  double expected_s = estimator_.ExpectedLatencyS(request.request) * slowness;
+  double latency_factor = backend != nullptr ? std::max(1.0, backend->relative_latency) : 1;
+  double expected_s = estimator_.ExpectedLatencyS(request.request) * latency_factor;
   double check_s = std::max(kCheckObjectiveShare * ClassOf(request).latency_objective_s,
-                            kCheckExpectedMultiple * expected_s);
-  double left_s = request.deadline_at_s - kCheckMarginResolutions * settings_.timer_resolution_s - now_s;
-  return std::max(0.0, std::min(left_s, check_s));
+                            kCheckExpectedLatencyMultiple * expected_s);
+  double last_check_delay_s =
+      request.deadline_at_s - kCheckMarginResolutions * settings_.timer_resolution_s - now_s;
+  return std::max(0.0, std::min(last_check_delay_s, check_s));
 }
 
 bool RetryPolicy::IsOutOfTime(const InFlightRequest& request, double now_s) const {
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,4 +1,4 @@
-// Whether, where and when a request gets a further attempt.
+// Decides whether a request gets another attempt, at which endpoints, and when.
 #ifndef GATEWAY_POLICY_RETRY_POLICY_H_
 #define GATEWAY_POLICY_RETRY_POLICY_H_
 
@@ -9,59 +9,65 @@
 
 namespace gateway::policy {
 
-// Rules:
+// Rules for retries and hedging:
 // - A request gets at most Settings::max_attempts attempts.
-// - After an attempt that may have run, an idempotent request may be retried anywhere. One with an
-//   idempotency key may be retried only within the scope and the time in which backends drop the repeat. Any
-//   other is not retried (RFC 9110, 9.2.2).
-// - Retry budget: it starts full, each admitted request earns a tenth of a retry, and each retry or hedged
-//   request takes one. So retries never multiply an overload. There is no backoff.
-// - An idempotent request whose backend has answered nobody since the attempt was sent is hedged: it gets a
-//   second attempt beside the first. Where the settings forbid that, the first is cancelled and then retried.
+// - After an attempt that a backend may have run, an idempotent request may be retried at any backend. A
+//   request with an idempotency key may be retried only within the scope and the window in which backends
+//   drop duplicates. Other requests are not retried (RFC 9110, 9.2.2).
+// - The retry budget starts full. Each admitted request adds a tenth of a retry, and each retry or hedged
+//   attempt takes one. Retries therefore cannot multiply an overload, and are sent without backoff.
+// - An idempotent request is hedged, which means that it gets a second, concurrent attempt, if its backend
+//   has answered no request at all since the first attempt was sent. If the settings forbid hedging, the
+//   first attempt is cancelled and then retried.
 class RetryPolicy {
  public:
-  // The references must outlive this.
+  // The arguments must outlive this object.
   RetryPolicy(const Settings& settings, const ServiceEstimator& estimator)
       : settings_(settings), estimator_(estimator) {}
 
+  // Adds the share of an admitted request to the retry budget.
   void RecordAdmission();
 
-  // Whether a retry is allowed by effect, budget and time left.
+  // Returns whether idempotency, the attempt limit, the retry budget and the time left allow a retry.
   bool MayRetry(const InFlightRequest& request, double now_s) const;
-  void RecordRetry() { budget_ -= 1; }
+  // Takes a retry or a hedged attempt from the retry budget.
+  void RecordRetry() { retry_budget_ -= 1; }
 
-  // Whether `endpoint` may get the next attempt: after one that may have run, backends that do not share its
-  // memory of idempotency keys would run the request again.
+  // Returns whether `endpoint` may get the next attempt. After an attempt that may have run, a backend that
+  // does not know the idempotency key from that attempt would run the request a second time.
   bool AllowsEndpoint(const InFlightRequest& request, const Endpoint& endpoint) const {
     return !request.may_have_run || SharesIdempotencyKeys(request, endpoint);
   }
 
-  // Whether the last attempt's backend is silent, and the request may get another attempt for that reason.
+  // Returns whether the backend of the last attempt is silent and the request may get another attempt for
+  // that reason. `backend` is the backend of the last attempt, or null.
   bool ShouldHedgeOrCancel(const InFlightRequest& request, const Backend* backend, double now_s) const;
 
-  // Delay until the request is looked at next: its backend may be silent by then, or its time nearly over.
-  // `backend`: of its last attempt, or null.
+  // Returns the delay until the next check of the request, for a silent backend or an imminent deadline.
+  // `backend` is the backend of the last attempt, or null.
   double CheckDelayS(const InFlightRequest& request, const Backend* backend, double now_s) const;
-  // Whether so little time is left that the final answer has to go out now, before the client gives up.
+  // Returns whether the final answer must be sent now to arrive before the client gives up.
   bool IsOutOfTime(const InFlightRequest& request, double now_s) const;
-  // The same by RunningClock.
+  // Same as IsOutOfTime, but by RunningClock, which excludes the time in which this process was stalled.
   bool IsOutOfTimeByRunningClock(const InFlightRequest& request, double running_s) const;
 
-  // Whether the final answer may promise that the request had no effect, or that repeating it has none.
+  // Returns whether the final answer may be a rejection. A rejection promises that the request had no effect,
+  // or that repeating it has none.
   bool MayReject(const InFlightRequest& request) const;
 
  private:
-  static constexpr double kMaxBudget = 20;
+  static constexpr double kMaxRetryBudget = 20;
 
   const ClassSettings& ClassOf(const InFlightRequest& request) const {
     return settings_.ClassAt(request.request.request_class);
   }
   bool SharesIdempotencyKeys(const InFlightRequest& request, const Endpoint& endpoint) const;
-  bool EffectAllowsAttempt(const InFlightRequest& request, double now_s) const;
+  // Returns whether idempotency and the attempt limit allow another attempt.
+  bool AllowsAnotherAttempt(const InFlightRequest& request, double now_s) const;
 
   const Settings& settings_;
   const ServiceEstimator& estimator_;
-  double budget_ = kMaxBudget;  // retries
+  double retry_budget_ = kMaxRetryBudget;  // number of retries
 };
 
 }  // namespace gateway::policy
