--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -6,28 +6,30 @@
 namespace gateway::policy {
 namespace {
 
-// Weight of one answer in its backend's relative latency, and the most that one counts.
+// Weight of one response in the relative latency of its backend, and the cap on the value of one response.
 constexpr double kRelativeLatencyWeight = 0.05;
 constexpr double kMaxRelativeLatency = 5;
 
-// The backend has said something, so that its process is there.
-bool IsFromBackend(CallResult result) {
+// Returns whether the backend itself sent a response, which shows that its process is running.
+bool IsBackendResponse(CallResult result) {
   return result == CallResult::kOk || result == CallResult::kRejected || result == CallResult::kError;
 }
 
-std::string BackendField(const Backend& backend) { return " backend=" + std::to_string(backend.endpoint.id); }
+std::string BackendLogField(const Backend& backend) {
+  return " backend=" + std::to_string(backend.endpoint.id);
+}
 
 }  // namespace
 
 void OutcomeFeedback::Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
                              const AttemptOutcome& outcome, double now_s, Actions* actions) {
   bool silent = backend->IsSilentSince(attempt.sent_s);
-  if (IsFromBackend(outcome.result)) backend->last_response_at_s = now_s;
+  if (IsBackendResponse(outcome.result)) backend->last_response_at_s = now_s;
   switch (outcome.result) {
     case CallResult::kOk: {
       double cost_units =
           outcome.actual_cost_units > 0 ? outcome.actual_cost_units : request.request.cost_units;
-      double latency_s = LatencyS(request.request, attempt, now_s);
+      double latency_s = EstimateLatencyS(request.request, attempt, now_s);
       RecordResponse(backend, request.request, cost_units, latency_s, now_s, actions);
       break;
     }
@@ -51,26 +53,25 @@
   }
 }
 
-// The latency of an answer that is read now. Where the process stood still meanwhile it is known only within
-// bounds; what was expected is taken for it as far as they allow.
-double OutcomeFeedback::LatencyS(const Request& request, const Attempt& attempt, double now_s) const {
-  double longest_s = now_s - attempt.sent_s;
-  double shortest_s = std::min(longest_s, running_clock_.At(now_s) - attempt.sent_running_s);
-  return std::clamp(estimator_.ExpectedLatencyS(request), shortest_s, longest_s);
+double OutcomeFeedback::EstimateLatencyS(const Request& request, const Attempt& attempt, double now_s) const {
+  double max_latency_s = now_s - attempt.sent_s;
+  double min_latency_s = std::min(max_latency_s, running_clock_.At(now_s) - attempt.sent_running_s);
+  return std::clamp(estimator_.ExpectedLatencyS(request), min_latency_s, max_latency_s);
 }
 
 void OutcomeFeedback::RecordResponse(Backend* backend, const Request& request, double cost_units,
                                      double latency_s, double now_s, Actions* actions) {
-  // Only warmed-up backends count: what others are sent and reject tells nothing of what a warm one can do.
+  // Responses of a backend that is warming up are ignored: the load that it is sent and what it rejects do
+  // not show what a warmed-up backend can serve.
   if (!backend->warm_up.IsActive()) slow_start_.RecordWarmResponse(request, now_s);
   if (backend->outlier.RecordSuccess()) {
-    actions->push_back(LogEvent{"backend_returned" + BackendField(*backend)});
+    actions->push_back(LogEvent{"backend_returned" + BackendLogField(*backend)});
   }
   ServiceEstimator::Sample sample = estimator_.RecordResponse(request.request_class, cost_units, latency_s);
   double relative_latency = std::min(sample.relative_latency, kMaxRelativeLatency);
   backend->relative_latency += kRelativeLatencyWeight * (relative_latency - backend->relative_latency);
   double objective_s = settings_.ClassAt(request.request_class).latency_objective_s;
-  double latency_share = sample.cost_adjusted_s / objective_s;
+  double latency_share = sample.cost_adjusted_latency_s / objective_s;
   load_shedder_.RecordLatency(latency_share, now_s);
   if (latency_s > objective_s) demand_share_.RecordPressure(now_s);
   backend->limiter.RecordResponse(latency_share, backend->attempts_in_flight, now_s);
@@ -89,7 +90,7 @@
 
 void OutcomeFeedback::RecordFailure(Backend* backend, double now_s, Actions* actions) {
   if (!backend->outlier.RecordFailure(now_s)) return;
-  actions->push_back(LogEvent{"backend_ejected" + BackendField(*backend) +
+  actions->push_back(LogEvent{"backend_ejected" + BackendLogField(*backend) +
                               " ejection_s=" + std::to_string(backend->outlier.ejection_s())});
 }
 
--- a/src/policy/outcome_feedback.h
+++ b/src/policy/outcome_feedback.h
@@ -1,4 +1,4 @@
-// What the end of an attempt teaches about its backend and about the load of all.
+// Updates the state of a backend and the load estimates with the outcome of each attempt.
 #ifndef GATEWAY_POLICY_OUTCOME_FEEDBACK_H_
 #define GATEWAY_POLICY_OUTCOME_FEEDBACK_H_
 
@@ -15,19 +15,21 @@
 
 namespace gateway::policy {
 
-// Passes each outcome to the rules that learn from it:
-//   - success: estimator, outlier detector, concurrency limiter, load shedder, slow start; demand share if
-//   late
-//   - rejection: concurrency limiter, load shedder, demand share
-//   - time-out: as a rejection if the backend has answered others meanwhile, else as a failure
-//   - error: outlier detector
-//   - failed or reset connection: outlier detector and, from a silent backend, slow start
-//   - cancellation: outlier detector, if the backend was silent and other attempts are in flight there
+// Passes each outcome to the components that use it:
+//   - success: ServiceEstimator, OutlierDetector, ConcurrencyLimiter and LoadShedder; SlowStart if the
+//     backend is warmed up; DemandShare if the latency objective was exceeded
+//   - rejection: ConcurrencyLimiter, LoadShedder and DemandShare
+//   - timeout: same as a rejection if the backend has sent any response since the attempt was sent; otherwise
+//     same as an error
+//   - error: OutlierDetector
+//   - failed or reset connection: OutlierDetector, and SlowStart if the backend has been silent for some time
+//   - cancellation: OutlierDetector, if the request is not finished, the backend has been silent since the
+//     attempt was sent, and other attempts are in flight there
 //
-// Invariant: time in which this gateway's process stood still teaches nothing of a backend (LatencyS).
+// Invariant: a stall of this gateway's process does not count as latency of a backend (see EstimateLatencyS).
 class OutcomeFeedback {
  public:
-  // The references must outlive this.
+  // The arguments must outlive this object.
   OutcomeFeedback(const Settings& settings, const RunningClock& running_clock, ServiceEstimator* estimator,
                   SlowStart* slow_start, LoadShedder* load_shedder, DemandShare* demand_share)
       : settings_(settings),
@@ -37,14 +39,18 @@
         load_shedder_(*load_shedder),
         demand_share_(*demand_share) {}
 
-  // `attempt` has ended and is no longer counted as in flight. Logs ejection and return of the backend.
+  // Records the outcome of `attempt`, which is no longer counted as in flight. Logs if the backend is ejected
+  // or its probation ends.
   void Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
               const AttemptOutcome& outcome, double now_s, Actions* actions);
-  // The backend counts as failed without an outcome, since it does not answer.
+  // Records a failure of the backend. Callers use it without an outcome if the backend does not respond.
   void RecordFailure(Backend* backend, double now_s, Actions* actions);
 
  private:
-  double LatencyS(const Request& request, const Attempt& attempt, double now_s) const;
+  // Returns the latency of a response that is read now. If this process was stalled in the meantime, the
+  // latency is only known to lie between the time for which the process has run since the attempt was sent
+  // and the whole time since then. The result is then the expected latency, clamped to these bounds.
+  double EstimateLatencyS(const Request& request, const Attempt& attempt, double now_s) const;
   void RecordResponse(Backend* backend, const Request& request, double cost_units, double latency_s,
                       double now_s, Actions* actions);
   void RecordRejection(Backend* backend, double now_s);
--- a/src/policy/service_estimator.cpp
+++ b/src/policy/service_estimator.cpp
@@ -3,9 +3,9 @@
 namespace gateway::policy {
 namespace {
 
-// Weight of one answer in the means of its class.
+// Weight of one response in the means of its class.
 constexpr double kSampleWeight = 0.02;
-// Share of the latency objective that a request is expected to take before any answer.
+// Expected latency before the first response, as a share of the latency objective.
 constexpr double kInitialObjectiveShare = 0.25;
 
 }  // namespace
@@ -25,9 +25,9 @@
   mean_units += (mean_units > 0 ? kSampleWeight : 1) * (cost_units - mean_units);
   double relative_cost = cost_units / mean_units;
   double mean_latency_s = mean_latency_s_[index];
-  // Capped, so that one answer out of a long queue does not pass for a class that is slow by nature.
-  double capped_s = std::min(latency_s, settings_.classes[index].latency_objective_s);
-  mean_latency_s_[index] += kSampleWeight * (capped_s - mean_latency_s);
+  // The cap prevents a single response that waited in a long queue from making the whole class look slow.
+  double capped_latency_s = std::min(latency_s, settings_.classes[index].latency_objective_s);
+  mean_latency_s_[index] += kSampleWeight * (capped_latency_s - mean_latency_s);
   return {latency_s / (mean_latency_s * relative_cost), latency_s - mean_latency_s * (relative_cost - 1)};
 }
 
