--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,5 +1,6 @@
-// The smallest program around the decision module: one gateway with one class and one plan, and one request
-// from its arrival to its answer. Prints the backend that was chosen; ends with status 1 if none was.
+// Minimal program that embeds the decision module. Configures one gateway with one request class and one
+// plan, and takes one request from its arrival to its response. Prints the selected backend. Exits with
+// status 1 if no backend is selected.
 #include <cstdio>
 
 #include "policy/admission_policy.h"
@@ -26,7 +27,7 @@
   settings.plans.push_back(plan);
 
   gateway::policy::Actions actions;
-  double now_s = 1000;  // any clock that all gateways share
+  double now_s = 1000;  // any clock that all gateways share, in seconds
   gateway::policy::AdmissionPolicy policy(settings, /*seed=*/42, now_s, &actions);
   gateway::policy::Endpoint endpoint;
   endpoint.id = 7;
@@ -42,7 +43,7 @@
     const auto* forward = std::get_if<gateway::policy::ForwardAttempt>(&action);
     if (forward == nullptr) continue;
     std::printf("forward request %u to backend %u\n", forward->request_id, forward->backend_id);
-    // The backend answers 50 ms later, and the answer goes to the client.
+    // The backend responds 50 ms later, and the response is sent to the client.
     gateway::policy::AttemptOutcome outcome;
     outcome.request_id = forward->request_id;
     outcome.backend_id = forward->backend_id;
