--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -41,8 +41,8 @@
   };
 
   // Applies an endpoint list from discovery. A complete list removes the backends that it does not contain; a
-  // delta changes only the backends that it contains. A backend with a new start time enters slow
-  // start, unless that start is longer ago than the slow start duration.
+  // delta changes only the backends that it contains. A backend with a new start time enters slow start,
+  // unless that start is longer ago than the slow start duration.
   void ApplyUpdate(EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints, double now_s,
                    SlowStart* slow_start);
 
@@ -59,8 +59,9 @@
     return static_cast<int>(std::count_if(backends_.begin(), backends_.end(), is_warm));
   }
 
-  // Does not count the attempts in flight that exceed a backend's concurrency limit. Runs for every request,
-  // so it is defined in the header: when it is inlined, the sums stay in registers.
+  // Returns the load of the ready backends. Attempts in flight that exceed the concurrency limit of their
+  // backend are not counted. Runs for every request, so it is defined in the header: when it is inlined, the
+  // sums stay in registers.
   Load ReadyLoad() const {
     Load load;
     for (const Backend& backend : backends_) {
--- a/src/policy/outcome_feedback.h
+++ b/src/policy/outcome_feedback.h
@@ -25,6 +25,7 @@
 //   - failed or reset connection: OutlierDetector, and SlowStart if the backend has been silent for some time
 //   - cancellation: OutlierDetector, if the request is not finished, the backend has been silent since the
 //     attempt was sent, and other attempts are in flight there
+//   - never sent: none
 //
 // Invariant: a stall of this gateway's process does not count as latency of a backend (see EstimateLatencyS).
 class OutcomeFeedback {
@@ -43,7 +44,8 @@
   // or its probation ends.
   void Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
               const AttemptOutcome& outcome, double now_s, Actions* actions);
-  // Records a failure of the backend. Callers use it without an outcome if the backend does not respond.
+  // Records a failure of the backend and logs if it is ejected. Callers use this for a silent backend whose
+  // attempt has no outcome yet.
   void RecordFailure(Backend* backend, double now_s, Actions* actions);
 
  private:
--- a/src/policy/outlier_detector.h
+++ b/src/policy/outlier_detector.h
@@ -5,9 +5,9 @@
 namespace gateway::policy {
 
 // A backend is ejected when its failure rate exceeds kEjectionThreshold, for which three consecutive
-// failures are enough. The failure rate is an exponentially weighted moving average over its results. An
-// ejected backend gets no attempts for a time that doubles with each ejection. Then it is on probation: it
-// gets one attempt at a time. A failure ejects it again, and a success ends the probation.
+// failures are enough. The failure rate is an exponentially weighted moving average over the outcomes of its
+// attempts. An ejected backend gets no attempts for a time that doubles with each ejection. Then it is on
+// probation: it gets one attempt at a time. A failure ejects it again, and a success ends the probation.
 //
 // While more than a quarter of the ready backends are ejected, all ejections are ignored (see MayExclude),
 // because the fault is then probably not in the backends. With fewer than four ready backends, ejections are
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -11,7 +11,7 @@
 constexpr double kCheckObjectiveShare = 0.5;
 constexpr double kCheckExpectedLatencyMultiple = 6;
 // The last check is due this many timer resolutions before the deadline: a timer may fire one resolution
-// late, and sending the final answer takes another one. A check that runs up to one resolution earlier
+// late, and sending the final response takes another one. A check that runs up to one resolution earlier
 // already counts as the last one, so that a timer which fires early is not started again.
 constexpr double kCheckMarginResolutions = 2;
 constexpr double kOutOfTimeResolutions = kCheckMarginResolutions + 1;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -17,8 +17,8 @@
 // - The retry budget starts full. Each admitted request adds a tenth of a retry, and each retry or hedged
 //   attempt takes one. Retries therefore cannot multiply an overload, and are sent without backoff.
 // - An idempotent request is hedged, which means that it gets a second, concurrent attempt, if its backend
-//   has answered no request at all since the first attempt was sent. If the settings forbid hedging, the
-//   first attempt is cancelled and then retried.
+//   has answered no request at all between the start of the first attempt and its check (see CheckDelayS).
+//   If the settings allow cancellation but not hedging, the first attempt is cancelled and then retried.
 class RetryPolicy {
  public:
   // The arguments must outlive this object.
@@ -46,13 +46,13 @@
   // Returns the delay until the next check of the request, for a silent backend or an imminent deadline.
   // `backend` is the backend of the last attempt, or null.
   double CheckDelayS(const InFlightRequest& request, const Backend* backend, double now_s) const;
-  // Returns whether the final answer must be sent now to arrive before the client gives up.
+  // Returns whether the final response must be sent now to arrive before the client gives up.
   bool IsOutOfTime(const InFlightRequest& request, double now_s) const;
   // Same as IsOutOfTime, but by RunningClock, which excludes the time in which this process was stalled.
   bool IsOutOfTimeByRunningClock(const InFlightRequest& request, double running_s) const;
 
-  // Returns whether the final answer may be a rejection. A rejection promises that the request had no effect,
-  // or that repeating it has none.
+  // Returns whether the final response may be a rejection. A rejection promises that the request had no
+  // effect, or that repeating it has none.
   bool MayReject(const InFlightRequest& request) const;
 
  private:
@@ -61,6 +61,8 @@
   const ClassSettings& ClassOf(const InFlightRequest& request) const {
     return settings_.ClassAt(request.request.request_class);
   }
+  // Returns whether `endpoint` knows the idempotency key from the attempt that may have run. Always true for
+  // an idempotent request, for which this does not matter.
   bool SharesIdempotencyKeys(const InFlightRequest& request, const Endpoint& endpoint) const;
   // Returns whether idempotency and the attempt limit allow another attempt.
   bool AllowsAnotherAttempt(const InFlightRequest& request, double now_s) const;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -12,7 +12,7 @@
 constexpr double kWarmWorkShare = 0.8;
 // Time constant of the exponential decay of the work of a warmed-up backend.
 constexpr double kWarmWorkDecayS = 2;
-// Unused budget accumulates up to the refill of this time.
+// Unused budget accumulates at most to the amount that is refilled in this time.
 constexpr double kMaxUnusedBudgetS = 0.3;
 // If a connection fails and the last response is longer ago than this, the process is taken to be down.
 constexpr double kUnreachableAfterS = 1.5;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -19,18 +19,18 @@
 
  private:
   friend class SlowStart;
-  double started_at_s_ = 0;   // when it started, by discovery or as assumed; 0: warmed up
+  double started_at_s_ = 0;   // when it started, as listed by discovery or assumed; 0: warmed up
   double budget_s_ = 0;       // work that it may still be sent, in seconds of expected latency
   double refilled_at_s_ = 0;  // when the budget was last refilled
 };
 
-// A backend that is warming up has a fraction of its full capacity. The fraction rises linearly from
-// Settings::slow_start_initial_fraction to 1 over Settings::slow_start_duration_s. The backend has a budget
-// of work, in seconds of expected latency, which refills at that fraction of the work that this gateway
-// currently sends to one warmed-up backend. So all gateways together send it no more than its fraction of
-// what a warmed-up backend receives. If the backends are nearly idle, this rate would be close to zero. The
-// budget therefore refills at no less than this gateway's equal share of what a backend with one core can
-// take.
+// A backend that is warming up is assumed to have a fraction of its full capacity. The fraction rises
+// linearly from Settings::slow_start_initial_fraction to 1 over Settings::slow_start_duration_s. The backend
+// has a budget of work, in seconds of expected latency, which refills at that fraction of the work that this
+// gateway currently sends to one warmed-up backend. So all gateways together send it no more than its
+// fraction of what a warmed-up backend receives. If the backends are nearly idle, this refill rate would be
+// close to zero. The budget therefore refills at no less than this gateway's equal share of what a backend
+// with one core can take at its current fraction.
 //
 // This prevents two failures: a warming-up backend collapses under the combined load of all gateways, and all
 // gateways send a burst to the first backend that comes back.
