--- a/src/net/backend_connection_pool.cpp
+++ b/src/net/backend_connection_pool.cpp
@@ -90,7 +90,7 @@
   return written ? CancelResult::kMayHaveRun : CancelResult::kNotSent;
 }
 
-bool BackendConnectionPool::DropUnsent(uint64_t attempt) {
+bool BackendConnectionPool::CancelIfUnsent(uint64_t attempt) {
   auto it = in_flight_.find(attempt);
   if (it == in_flight_.end() || it->second->IsRequestWritten()) return false;
   return Cancel(attempt) != CancelResult::kAlreadyEnded;
--- a/src/net/backend_connection_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -57,8 +57,8 @@
   void Remove(uint32_t backend);
 
   // Sends an attempt. Returns its id, for Cancel. `on_complete` runs exactly once, never within this call,
-  // unless Cancel or DropUnsent ends the attempt. `still_wanted` is called after each wait, for a connection
-  // or for capacity in one; where it returns false, the attempt ends as kNeverSent.
+  // unless Cancel or CancelIfUnsent ends the attempt. `still_wanted` is called after each wait, for a
+  // connection or for capacity in one; where it returns false, the attempt ends as kNeverSent.
   //
   // Other results than a response's: kConnectFailed where the backend is not listed, takes no new request or
   // was not reached, so that it may be sent elsewhere; kNeverSent where this gateway has no connection to
@@ -72,7 +72,7 @@
   CancelResult Cancel(uint64_t attempt);
 
   // Cancels the attempt if not all of its request is written. Returns whether it did.
-  bool DropUnsent(uint64_t attempt);
+  bool CancelIfUnsent(uint64_t attempt);
 
   // Whether bytes of a response to the attempt have come that were not read yet.
   bool HasUnreadResponse(uint64_t attempt) const;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -320,7 +320,7 @@
   const InFlightRequest& request = requests_.At(request_id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
     const InFlightAttempt& attempt = request.attempts[i];
-    if (attempt.in_flight && pool_.DropUnsent(attempt.pool_attempt_id)) {
+    if (attempt.in_flight && pool_.CancelIfUnsent(attempt.pool_attempt_id)) {
       PostAttemptEnd(request_id, static_cast<int>(i), CallResult::kNeverSent);
     }
   }
--- a/tests/net/backend_connection_pool_test.cpp
+++ b/tests/net/backend_connection_pool_test.cpp
@@ -78,8 +78,8 @@
 // Cancels an attempt whose connection is not up yet. Returns the connection.
 std::unique_ptr<TestConnection> DropWhileConnecting(PoolFixture& p, ManualListener& backend) {
   uint64_t attempt = p.Send(1, "unsent");
-  EXPECT_TRUE(p.pool.DropUnsent(attempt));
-  EXPECT_FALSE(p.pool.DropUnsent(attempt));
+  EXPECT_TRUE(p.pool.CancelIfUnsent(attempt));
+  EXPECT_FALSE(p.pool.CancelIfUnsent(attempt));
   return backend.Accept();
 }
 
@@ -87,7 +87,7 @@
   uint64_t attempt = p.Send(1, "complete");
   auto connection = backend.Accept();
   AwaitReadable(p, *connection);
-  EXPECT_FALSE(p.pool.DropUnsent(attempt)) << "the backend has all of it";
+  EXPECT_FALSE(p.pool.CancelIfUnsent(attempt)) << "the backend has all of it";
   connection->Write(OkResponse("x"));
   p.RunUntil([&] { return p.ends.size() == 1; });
   EXPECT_EQ(p.ends[0].result, CallResult::kOk);
@@ -96,7 +96,7 @@
 // The client of a request has left. An attempt whose connection is still to come up, or of which only a part
 // has been written, has not run and is cancelled: nothing more of it may reach the backend. One that is
 // completely written may have run, so it goes on to its response.
-TEST(BackendConnectionPool, DropUnsentCancelsOnlyIncompletelyWrittenRequests) {
+TEST(BackendConnectionPool, CancelIfUnsentCancelsOnlyIncompletelyWrittenRequests) {
   std::string request(24 << 20, 'b');
   ManualListener backend;
   PoolFixture p;
@@ -105,7 +105,7 @@
   uint64_t partial = p.Send(1, request);
   auto second = backend.Accept();
   AwaitReadable(p, *second);
-  EXPECT_TRUE(p.pool.DropUnsent(partial));
+  EXPECT_TRUE(p.pool.CancelIfUnsent(partial));
   while (first->Receive() || second->Receive()) {
   }
   EXPECT_EQ(first->unread, "");
