--- a/src/net/backend_connection_pool.cpp
+++ b/src/net/backend_connection_pool.cpp
@@ -21,11 +21,12 @@
 }  // namespace
 
 BackendConnectionPool::BackendConnectionPool(asio::io_context& io, double idle_s, double connect_timeout_s,
-                                             double drain_grace_s, size_t max_connections, double settle_s)
+                                             double drain_grace_s, size_t max_connections,
+                                             double min_idle_before_reuse_s)
     : io_(io),
       timeouts_{Seconds(connect_timeout_s), Seconds(idle_s > 0 ? idle_s * kIdleFraction : kDefaultIdleS)},
       drain_grace_(Seconds(std::max(0.0, drain_grace_s - kGraceMarginS))),
-      settle_(Seconds(settle_s)),
+      min_idle_before_reuse_(Seconds(min_idle_before_reuse_s)),
       max_connections_(max_connections) {}
 
 BackendConnectionPool::~BackendConnectionPool() {
@@ -151,7 +152,7 @@
   auto& idle = backend->idle;
   for (;;) {
     auto settled = std::find_if(idle.rbegin(), idle.rend(), [this](const IdleConnection& candidate) {
-      return candidate.connection->HasBeenIdleFor(settle_);
+      return candidate.connection->HasBeenIdleFor(min_idle_before_reuse_);
     });
     if (settled == idle.rend()) return nullptr;
     std::shared_ptr<BackendConnection> connection = std::move(settled->connection);
--- a/src/net/backend_connection_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -35,13 +35,13 @@
   // s after a response in which its connection takes no further request. Guards against a backend that sends
   // a second response some milliseconds after the first: on a connection that is used again at once it would
   // pass for the response to the next request. Within this time it closes the connection instead.
-  static constexpr double kSettleS = 0.01;
+  static constexpr double kMinIdleBeforeReuseS = 0.01;
 
   // `idle_s`: after which backends close an idle connection. `connect_timeout_s`: for a connection to come
   // up. `drain_grace_s`: in which a draining backend still takes new requests. `max_connections`: idle,
   // connecting and with an attempt, of all backends together.
   BackendConnectionPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
-                        size_t max_connections, double settle_s = kSettleS);
+                        size_t max_connections, double min_idle_before_reuse_s = kMinIdleBeforeReuseS);
   // Ends all attempts without their completions.
   ~BackendConnectionPool();
   BackendConnectionPool(const BackendConnectionPool&) = delete;
@@ -112,7 +112,7 @@
 
   asio::io_context& io_;
   const BackendConnection::Timeouts timeouts_;
-  const Clock::duration drain_grace_, settle_;
+  const Clock::duration drain_grace_, min_idle_before_reuse_;
   const size_t max_connections_;
   size_t connections_ = 0;
   uint64_t last_attempt_ = 0;
--- a/tests/net/client_left_test.cpp
+++ b/tests/net/client_left_test.cpp
@@ -194,7 +194,7 @@
   backends.released.Add();
   AwaitArrival({backends.one.port(), backends.two.port()});  // the failure comes before the client's end
   // Until the other backend's connection has settled and could take a request.
-  std::this_thread::sleep_for(2 * Seconds(BackendConnectionPool::kSettleS));
+  std::this_thread::sleep_for(2 * Seconds(BackendConnectionPool::kMinIdleBeforeReuseS));
   Leave(*client, reset);
   fixture.gateway->Signal(SIGCONT);
   EXPECT_EQ(Exchange(*other, MakeRequest("quote", 1, 60000)).status(), 200);
