--- a/src/net/backend_connection.cpp
+++ b/src/net/backend_connection.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr size_t kMaxResponseBody = kMaxBodyBytes;
-constexpr int kMaxInterimResponses = 16;  // 1xx responses ahead of the final one
+constexpr size_t kMaxResponseBodyBytes = kMaxBodyBytes;
+constexpr int kMaxInterimResponses = 16;  // 1xx responses before the final response
 
 }  // namespace
 
@@ -35,12 +35,12 @@
   state_ = connected ? State::kExchanging : State::kConnecting;
   attempt_ = std::move(attempt);
   written_bytes_ = message_bytes_ = 0;
-  began_at_ = Clock::now();
-  give_up_at_ = began_at_ + Seconds(std::max(0.0, attempt_.timeout_s));
+  started_at_ = Clock::now();
+  attempt_deadline_ = started_at_ + Seconds(std::max(0.0, attempt_.timeout_s));
   interim_responses_ = 0;
-  ResetParser(&parser_, kMaxResponseBody);
+  ResetParser(&parser_, kMaxResponseBodyBytes);
   if (!connected) return Connect();
-  SetDeadline(give_up_at_);
+  ArmTimer(attempt_deadline_);
   WriteRequest();
 }
 
@@ -60,80 +60,81 @@
 }
 
 void BackendConnection::CloseIdle() {
-  auto self = shared_from_this();  // the owner's may be the last other reference
-  owner_->OnIdleEnded(this);
+  auto self = shared_from_this();  // the owner may drop the last other reference
+  owner_->OnIdleClosing(this);
   Close();
 }
 
-void BackendConnection::SetDeadline(Clock::time_point when) {
+void BackendConnection::ArmTimer(Clock::time_point when) {
   timer_.expires_at(when);
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
-    // One whose time has just expired is no longer cancelled: the timer may have been set anew since.
+    // Asio no longer cancels a wait that has already expired, and the timer may have been set again since.
     if (cancelled || state_ == State::kClosed || Clock::now() < timer_.expiry()) return;
-    OnDeadline();
+    OnTimer();
   });
 }
 
-void BackendConnection::OnDeadline() {
+void BackendConnection::OnTimer() {
   if (!HasAttempt()) return CloseIdle();
-  if (HasEventAhead()) return SetDeadline(Clock::now());
-  // A request that is not completely written has not run.
+  if (HasPendingEvent()) return ArmTimer(Clock::now());
+  // A request that was not completely written has not run.
   Fail(IsRequestWritten() ? CallResult::kTimeout : CallResult::kConnectFailed);
 }
 
-// Whether the system has an event of the attempt that is to be handled before its time-out. Guards against an
-// answer that is thrown away though it came in time: in a process that was held up both are due at once.
-bool BackendConnection::HasEventAhead() {
+// Returns whether the kernel holds an event of the attempt that must be handled before its timeout. This
+// guards against discarding a response that arrived in time: after the process has stalled, the response and
+// the timeout are due at the same moment.
+bool BackendConnection::HasPendingEvent() {
   return state_ == State::kConnecting ? HasConnectEnded(socket_) : HasUnreadResponse();
 }
 
 void BackendConnection::Connect() {
   error_code error = OpenSocket(socket_, address_);
-  if (error) {  // descriptors or memory are exhausted: no fault of the backend
+  if (error) {  // this process is out of file descriptors or memory; the backend has not failed
     return asio::post(io_, [self = shared_from_this(), this] { Fail(CallResult::kNeverSent); });
   }
-  SetDeadline(std::min(give_up_at_, began_at_ + timeouts_.connect));
+  ArmTimer(std::min(attempt_deadline_, started_at_ + timeouts_.connect));
   socket_.async_connect(address_, [self = shared_from_this(), this](error_code failed) {
     if (HasAttempt()) OnConnected(failed);
   });
 }
 
 void BackendConnection::OnConnected(error_code error) {
-  // Guards against a connection that comes up too late: the attempt's time is over, or discovery has
-  // meanwhile listed the backend as gone, at another address, or draining for longer than its grace. Without
-  // this look the request would be sent to a backend that must not get it.
-  if (error || Clock::now() >= give_up_at_ || !owner_->MaySend(*this))
+  // The connection may be established too late: the attempt may have timed out, or discovery may since have
+  // listed the backend as gone, at another address, or as draining for longer than its grace. Without this
+  // check the request would be sent to a backend that must not receive it.
+  if (error || Clock::now() >= attempt_deadline_ || !owner_->MaySend(*this))
     return Fail(CallResult::kConnectFailed);
   if (!attempt_.still_wanted()) return Fail(CallResult::kNeverSent);
   state_ = State::kExchanging;
-  SetDeadline(give_up_at_);
+  ArmTimer(attempt_deadline_);
   WriteRequest();
 }
 
 void BackendConnection::WriteRequest() {
   if (!read_pending_) Read();
-  message_ = attempt_.serialize(ToSeconds(give_up_at_ - Clock::now()));
+  message_ = attempt_.serialize(ToSeconds(attempt_deadline_ - Clock::now()));
   attempt_.serialize = nullptr;
   message_bytes_ = message_.size();
   uint64_t attempt = attempt_.id;
   WriteAll(
       socket_, message_, &written_bytes_,
       [self = shared_from_this(), this, attempt](error_code error) { OnWriteEnded(attempt, error); },
-      [this, attempt] { return !IsCarrying(attempt) || attempt_.still_wanted(); });
+      [this, attempt] { return !IsInFlight(attempt) || attempt_.still_wanted(); });
 }
 
 void BackendConnection::OnWriteEnded(uint64_t attempt, error_code error) {
-  if (!IsCarrying(attempt)) return;
+  if (!IsInFlight(attempt)) return;
   if (!error) {
     message_ = std::string();
     return;
   }
-  // A request whose last byte was not written has not begun to run.
+  // A request whose last byte was not written has not started to run.
   CallResult result =
       error == asio::error::operation_aborted ? CallResult::kNeverSent : CallResult::kConnectFailed;
-  // Posted: the caller may be Begin, within which no completion runs.
+  // The failure is posted because the caller may be Begin, which must not run the completion.
   asio::post(io_, [self = shared_from_this(), this, attempt, result] {
-    if (IsCarrying(attempt)) Fail(result);
+    if (IsInFlight(attempt)) Fail(result);
   });
 }
 
@@ -144,7 +145,8 @@
                             read_pending_ = false;
                             if (state_ == State::kClosed) return;
                             buffer_.commit(n);
-                            // Closed by the backend while idle, or bytes that nobody asked for.
+                            // The backend has closed the idle connection or sent bytes that belong to no
+                            // request.
                             if (!HasAttempt()) return CloseIdle();
                             if (error) return OnReadError(error);
                             ParseResponse();
@@ -152,8 +154,8 @@
                           });
 }
 
-// A response whose end only the end of the connection marks (RFC 9112, 6.3) cannot be told from one that was
-// cut short, so that it is no success, whatever its status.
+// A response that is delimited only by the end of the connection (RFC 9112, 6.3) cannot be distinguished from
+// a truncated one, so it never counts as a success.
 void BackendConnection::OnReadError(error_code error) {
   bool ended = error == asio::error::eof;
   error_code incomplete;
@@ -165,16 +167,16 @@
 
 void BackendConnection::ParseResponse() {
   for (;;) {
-    // Bytes that are no HTTP, or a response past a limit, end this exchange.
+    // Malformed HTTP, or a response that exceeds a limit, ends the exchange.
     bool failed = FeedParser(*parser_, buffer_) || interim_responses_ > kMaxInterimResponses;
     if (failed) return Fail(IsRequestWritten() ? CallResult::kReset : CallResult::kConnectFailed);
     if (!parser_->is_done()) return;
     if (http::to_status_class(parser_->get().result_int()) != http::status_class::informational) break;
     ++interim_responses_;
-    ResetParser(&parser_, kMaxResponseBody);
+    ResetParser(&parser_, kMaxResponseBodyBytes);
   }
-  // A response to a request that is not completely written: the request has not begun to run, and what the
-  // response belongs to is in doubt.
+  // If the request is not completely written, it has not started to run, and it is unclear which request the
+  // response belongs to.
   if (!IsRequestWritten()) return Fail(CallResult::kConnectFailed);
   OnResponse(parser_->keep_alive() && buffer_.size() == 0);
 }
@@ -182,28 +184,28 @@
 void BackendConnection::OnResponse(bool reusable) { Complete(ToAttemptResult(&parser_->get()), reusable); }
 
 void BackendConnection::Fail(CallResult result) {
-  AttemptResult end;
-  end.result = result;
-  Complete(std::move(end), false);
+  AttemptResult outcome;
+  outcome.result = result;
+  Complete(std::move(outcome), false);
 }
 
-void BackendConnection::Complete(AttemptResult end, bool reusable) {
+void BackendConnection::Complete(AttemptResult outcome, bool reusable) {
   if (!HasAttempt()) return;
-  end.duration_s = ToSeconds(Clock::now() - began_at_);
+  outcome.duration_s = ToSeconds(Clock::now() - started_at_);
   owner_->OnAttemptEnded(attempt_.id);
-  // The connection is idle or closed before the completion runs, so that a retry which that sends never goes
-  // out beside this attempt.
+  // The connection becomes idle or is closed before the completion runs, so that a retry sent by the
+  // completion never runs in parallel with this attempt.
   if (reusable && owner_->KeepIdle(shared_from_this())) {
     state_ = State::kIdle;
     idle_since_ = Clock::now();
-    SetDeadline(idle_since_ + timeouts_.idle);
+    ArmTimer(idle_since_ + timeouts_.idle);
   } else {
     Close();
   }
   CompletionFn on_complete = std::move(attempt_.on_complete);
   attempt_.on_complete = nullptr;
   attempt_.still_wanted = nullptr;
-  if (on_complete) on_complete(std::move(end));
+  if (on_complete) on_complete(std::move(outcome));
 }
 
 }  // namespace gateway::net
--- a/src/net/backend_connection_pool.cpp
+++ b/src/net/backend_connection_pool.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-// Idle connections are closed after this fraction of the backend's own idle limit. Guards against a request
-// that is written just as the backend closes the connection: it would end as a reset, after which it may have
-// run.
-constexpr double kIdleFraction = 0.7;
-constexpr double kDefaultIdleS = 5;  // where the backends' limit is not given
-// Subtracted from the draining grace: the time that a write may be delayed on a busy core.
-constexpr double kGraceMarginS = 0.1;
+// Idle connections are closed after this fraction of the backends' own idle timeout. This guards against a
+// request that is written just as the backend closes the connection: the attempt would end with a reset,
+// after which the request may have run.
+constexpr double kIdleTimeoutFraction = 0.7;
+constexpr double kDefaultIdleTimeoutS = 5;  // used if the backends' idle timeout is not configured
+// Subtracted from the drain grace, because a write may be delayed by this time on a busy core.
+constexpr double kDrainGraceMarginS = 0.1;
 
 }  // namespace
 
@@ -24,8 +24,9 @@
                                              double drain_grace_s, size_t max_connections,
                                              double min_idle_before_reuse_s)
     : io_(io),
-      timeouts_{Seconds(connect_timeout_s), Seconds(idle_s > 0 ? idle_s * kIdleFraction : kDefaultIdleS)},
-      drain_grace_(Seconds(std::max(0.0, drain_grace_s - kGraceMarginS))),
+      timeouts_{Seconds(connect_timeout_s),
+                Seconds(idle_s > 0 ? idle_s * kIdleTimeoutFraction : kDefaultIdleTimeoutS)},
+      drain_grace_(Seconds(std::max(0.0, drain_grace_s - kDrainGraceMarginS))),
       min_idle_before_reuse_(Seconds(min_idle_before_reuse_s)),
       max_connections_(max_connections) {}
 
@@ -42,7 +43,7 @@
   b->draining = false;
   if (b->address == address) return;
   b->address = address;
-  CloseIdleOf(b.get());
+  CloseIdleConnections(b.get());
 }
 
 void BackendConnectionPool::Drain(uint32_t backend, Clock::time_point notified_at) {
@@ -50,7 +51,7 @@
   if (b == nullptr || b->draining) return;
   b->draining = true;
   b->no_send_after = notified_at + drain_grace_;
-  CloseIdleOf(b);
+  CloseIdleConnections(b);
 }
 
 void BackendConnectionPool::Remove(uint32_t backend) {
@@ -62,17 +63,17 @@
                                      CompletionFn on_complete, StillWantedFn still_wanted) {
   uint64_t attempt = ++last_attempt_;
   Backend* b = Find(backend);
-  bool allowed = b != nullptr && TakesNewRequests(*b);
+  bool allowed = b != nullptr && AcceptsNewRequests(*b);
   std::shared_ptr<BackendConnection> connection;
   if (allowed) connection = TakeIdle(b);
   if (allowed && connection == nullptr) connection = OpenNew(backend, *b);
   if (connection == nullptr) {
-    // That all connections are in use is this gateway's own shortage, and no fault of the backend.
+    // If all connections are in use, this gateway lacks capacity; the backend has not failed.
     CallResult result = allowed ? CallResult::kNeverSent : CallResult::kConnectFailed;
     asio::post(io_, [on_complete = std::move(on_complete), result] {
-      AttemptResult end;
-      end.result = result;
-      on_complete(std::move(end));
+      AttemptResult outcome;
+      outcome.result = result;
+      on_complete(std::move(outcome));
     });
     return attempt;
   }
@@ -103,12 +104,12 @@
 }
 
 void BackendConnectionPool::CloseIdle() {
-  while (!idle_order_.empty()) CloseOldestIdle();
+  while (!idle_order_.empty()) CloseLongestIdle();
 }
 
 bool BackendConnectionPool::MaySend(const BackendConnection& connection) const {
   const Backend* b = Find(connection.backend());
-  return b != nullptr && b->address == connection.address() && TakesNewRequests(*b);
+  return b != nullptr && b->address == connection.address() && AcceptsNewRequests(*b);
 }
 
 void BackendConnectionPool::OnAttemptEnded(uint64_t attempt) { in_flight_.erase(attempt); }
@@ -121,7 +122,7 @@
   return true;
 }
 
-void BackendConnectionPool::OnIdleEnded(BackendConnection* connection) {
+void BackendConnectionPool::OnIdleClosing(BackendConnection* connection) {
   Backend* b = Find(connection->backend());
   if (b == nullptr) return;
   auto it = std::find_if(b->idle.begin(), b->idle.end(),
@@ -143,51 +144,53 @@
   return it == backends_.end() ? nullptr : it->second.get();
 }
 
-bool BackendConnectionPool::TakesNewRequests(const Backend& backend) {
+bool BackendConnectionPool::AcceptsNewRequests(const Backend& backend) {
   return !backend.draining || Clock::now() < backend.no_send_after;
 }
 
-// The most recently used connection that has settled. Those that turn out to be no longer usable are closed.
+// Returns the most recently used connection that has been idle for at least `min_idle_before_reuse_`, or null
+// if there is none. Connections that turn out to be unusable are closed.
 std::shared_ptr<BackendConnection> BackendConnectionPool::TakeIdle(Backend* backend) {
   auto& idle = backend->idle;
   for (;;) {
-    auto settled = std::find_if(idle.rbegin(), idle.rend(), [this](const IdleConnection& candidate) {
+    auto found = std::find_if(idle.rbegin(), idle.rend(), [this](const IdleConnection& candidate) {
       return candidate.connection->HasBeenIdleFor(min_idle_before_reuse_);
     });
-    if (settled == idle.rend()) return nullptr;
-    std::shared_ptr<BackendConnection> connection = std::move(settled->connection);
-    idle_order_.erase(settled->order);
-    idle.erase(std::prev(settled.base()));
-    // One that is overdue is no longer used, though its timer has not run yet in a process that was held up.
-    bool overdue = connection->HasBeenIdleFor(timeouts_.idle);
-    if (!overdue && connection->IsReusable()) return connection;
+    if (found == idle.rend()) return nullptr;
+    std::shared_ptr<BackendConnection> connection = std::move(found->connection);
+    idle_order_.erase(found->order);
+    idle.erase(std::prev(found.base()));
+    // A connection past its idle timeout is not used, even if a stalled process has not run its timer yet.
+    bool expired = connection->HasBeenIdleFor(timeouts_.idle);
+    if (!expired && connection->IsReusable()) return connection;
     connection->Close();
   }
 }
 
-// Null where all connections are in use.
+// Returns null if all connections are in use.
 std::shared_ptr<BackendConnection> BackendConnectionPool::OpenNew(uint32_t id, const Backend& backend) {
-  if (!MakeRoom()) return nullptr;
+  if (!EnsureCapacity()) return nullptr;
   ++connections_;
   BackendConnection::Owner* owner = this;
   return std::make_shared<BackendConnection>(io_, owner, timeouts_, id, backend.address);
 }
 
-// Closes the connection that has been idle longest if the pool is full. False if none is idle.
-bool BackendConnectionPool::MakeRoom() {
+// Closes the connection that has been idle longest if the pool is full. Returns false if the pool is full and
+// no connection is idle.
+bool BackendConnectionPool::EnsureCapacity() {
   if (connections_ < max_connections_) return true;
   if (idle_order_.empty()) return false;
-  CloseOldestIdle();
+  CloseLongestIdle();
   return true;
 }
 
-void BackendConnectionPool::CloseOldestIdle() {
+void BackendConnectionPool::CloseLongestIdle() {
   std::shared_ptr<BackendConnection> oldest = idle_order_.front()->shared_from_this();
-  OnIdleEnded(oldest.get());
+  OnIdleClosing(oldest.get());
   oldest->Close();
 }
 
-void BackendConnectionPool::CloseIdleOf(Backend* backend) {
+void BackendConnectionPool::CloseIdleConnections(Backend* backend) {
   auto idle = std::move(backend->idle);
   backend->idle.clear();
   for (IdleConnection& closing : idle) {
--- a/src/net/backend_connection_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -1,4 +1,5 @@
-// The connections to all backends: which of them an attempt is sent on, and which are closed.
+// The pool of connections to all backends. It chooses the connection that an attempt is sent on and decides
+// when connections are closed.
 #ifndef GATEWAY_NET_BACKEND_CONNECTION_POOL_H_
 #define GATEWAY_NET_BACKEND_CONNECTION_POOL_H_
 
@@ -16,68 +17,71 @@
 
 namespace gateway::net {
 
-// What Cancel found.
+// State of an attempt at the time when Cancel was called for it.
 enum class CancelResult {
-  kAlreadyEnded,  // the attempt's completion has run or is about to
-  kNotSent,       // not all of the request was written: it has not run
-  kMayHaveRun,    // all of the request was written
+  kAlreadyEnded,  // the attempt's completion has run or is about to run
+  kNotSent,       // the request was not completely written, so it has not run
+  kMayHaveRun,    // the request was completely written
 };
 
-// Sends attempts to backends on idle or new connections and reports one outcome for each. Which backend an
-// attempt goes to is decided elsewhere; the pool only refuses one that is not listed or is draining for
-// longer than its grace.
+// Sends attempts to backends on idle or new connections and reports one outcome for each. The caller chooses
+// the backend of an attempt; the pool only refuses a backend that is not listed or whose drain grace is over.
 //
-// A request goes out on the idle connection of its backend that was used last. Connections are closed when
-// their backend drains, is removed or changes its address, when they have been idle for too long, and, the
-// longest idle first, when the pool is full. Runs on the thread of its io_context.
+// A request is sent on the most recently used idle connection of its backend. Connections are closed when
+// their backend drains, is removed or changes its address, and when they have been idle for too long. When
+// the pool is full, the connection that has been idle longest is closed. All calls must be made on the thread
+// of the io_context.
 class BackendConnectionPool final : private BackendConnection::Owner {
  public:
-  // s after a response in which its connection takes no further request. Guards against a backend that sends
-  // a second response some milliseconds after the first: on a connection that is used again at once it would
-  // pass for the response to the next request. Within this time it closes the connection instead.
+  // Seconds after a response during which its connection carries no further request. This guards against a
+  // backend that sends a second response some milliseconds after the first: on a connection that is reused at
+  // once, that response would be taken for the response to the next request. A second response that arrives
+  // within this time closes the connection instead.
   static constexpr double kMinIdleBeforeReuseS = 0.01;
 
-  // `idle_s`: after which backends close an idle connection. `connect_timeout_s`: for a connection to come
-  // up. `drain_grace_s`: in which a draining backend still takes new requests. `max_connections`: idle,
-  // connecting and with an attempt, of all backends together.
+  // `idle_s` is the time after which backends close an idle connection, and 0 if that time is not known.
+  // `drain_grace_s` is the time for which a draining backend still accepts new requests. `max_connections`
+  // limits the connections to all backends together, whether idle, connecting or carrying an attempt.
   BackendConnectionPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
                         size_t max_connections, double min_idle_before_reuse_s = kMinIdleBeforeReuseS);
-  // Ends all attempts without their completions.
+  // Aborts all attempts without calling their completions.
   ~BackendConnectionPool();
   BackendConnectionPool(const BackendConnectionPool&) = delete;
   BackendConnectionPool& operator=(const BackendConnectionPool&) = delete;
 
-  // Discovery lists the backend as ready at `address`.
+  // Adds the backend or changes its address. To be called when discovery lists the backend as ready.
   void Update(uint32_t backend, const tcp::endpoint& address);
-  // Discovery lists the backend as draining, which counts as notified at `notified_at`, perhaps a while
-  // before it was read: nothing is sent after the grace from then on. No-op for one that is not listed or is
-  // draining already.
+  // Marks the backend as draining. No request is sent to it once the drain grace has passed since
+  // `notified_at`, the time at which the gateway counts as notified, which may be earlier than the time at
+  // which it read the list. Does nothing if the backend is not listed or is already draining.
   void Drain(uint32_t backend, Clock::time_point notified_at);
-  // Discovery lists the backend as gone: no new attempt is sent at all. Attempts that are written run on.
+  // Removes the backend. No new attempt is sent to it; attempts whose request is already written continue.
   void Remove(uint32_t backend);
 
-  // Sends an attempt. Returns its id, for Cancel. `on_complete` runs exactly once, never within this call,
-  // unless Cancel or CancelIfUnsent ends the attempt. `still_wanted` is called after each wait, for a
-  // connection or for capacity in one; where it returns false, the attempt ends as kNeverSent.
+  // Sends an attempt and returns its id, which Cancel takes. `on_complete` runs exactly once, never within
+  // this call, unless Cancel or CancelIfUnsent ends the attempt. `still_wanted` is called after each wait for
+  // the connection to be established or for its socket to become writable; if it returns false, the attempt
+  // ends with kNeverSent.
   //
-  // Other results than a response's: kConnectFailed where the backend is not listed, takes no new request or
-  // was not reached, so that it may be sent elsewhere; kNeverSent where this gateway has no connection to
-  // spare; kTimeout and kReset only for a request that may have run.
+  // An attempt without a response ends with one of these results:
+  // - kConnectFailed if the backend is not listed, accepts no new requests or could not be reached. The
+  //   request may then be sent to another backend.
+  // - kNeverSent if all of this gateway's connections are in use or it cannot open another socket.
+  // - kTimeout or kReset only if the request may have run.
   uint64_t Send(
       uint32_t backend, SerializeFn serialize, double timeout_s, CompletionFn on_complete,
       StillWantedFn still_wanted = [] { return true; });
 
-  // Closes the attempt's connection at once. The completion does not run, unless the attempt has ended
-  // already.
+  // Closes the attempt's connection immediately. The completion does not run, unless the attempt has already
+  // ended.
   CancelResult Cancel(uint64_t attempt);
 
-  // Cancels the attempt if not all of its request is written. Returns whether it did.
+  // Cancels the attempt if its request is not completely written. Returns whether the attempt was cancelled.
   bool CancelIfUnsent(uint64_t attempt);
 
-  // Whether bytes of a response to the attempt have come that were not read yet.
+  // Returns whether bytes of a response to the attempt have been received but not yet read.
   bool HasUnreadResponse(uint64_t attempt) const;
 
-  // Closes all idle connections.
   void CloseIdle();
 
   size_t connections() const { return connections_; }
@@ -86,29 +90,29 @@
   using IdleOrder = std::list<BackendConnection*>;
   struct IdleConnection {
     std::shared_ptr<BackendConnection> connection;
-    IdleOrder::iterator order;  // its place in idle_order_
+    IdleOrder::iterator order;  // position in idle_order_
   };
   struct Backend {
     tcp::endpoint address;
     bool draining = false;
-    Clock::time_point no_send_after{};  // of a draining one
-    std::vector<IdleConnection> idle;   // the most recently used last
+    Clock::time_point no_send_after{};  // only set while the backend is draining
+    std::vector<IdleConnection> idle;   // ordered by last use, the most recently used connection last
   };
 
   bool MaySend(const BackendConnection& connection) const override;
   void OnAttemptEnded(uint64_t attempt) override;
   bool KeepIdle(std::shared_ptr<BackendConnection> connection) override;
-  void OnIdleEnded(BackendConnection* connection) override;
+  void OnIdleClosing(BackendConnection* connection) override;
   void OnClosed() override;
 
   Backend* Find(uint32_t backend);
   const Backend* Find(uint32_t backend) const;
-  static bool TakesNewRequests(const Backend& backend);
+  static bool AcceptsNewRequests(const Backend& backend);
   std::shared_ptr<BackendConnection> TakeIdle(Backend* backend);
   std::shared_ptr<BackendConnection> OpenNew(uint32_t id, const Backend& backend);
-  bool MakeRoom();
-  void CloseIdleOf(Backend* backend);
-  void CloseOldestIdle();
+  bool EnsureCapacity();
+  void CloseIdleConnections(Backend* backend);
+  void CloseLongestIdle();
 
   asio::io_context& io_;
   const BackendConnection::Timeouts timeouts_;
@@ -117,9 +121,10 @@
   size_t connections_ = 0;
   uint64_t last_attempt_ = 0;
   std::unordered_map<uint32_t, std::unique_ptr<Backend>> backends_;
-  // By attempt. Holds the reference to a connection while an attempt is on it.
+  // Connections by the id of the attempt that they carry. The map holds the pool's reference to such a
+  // connection.
   std::unordered_map<uint64_t, std::shared_ptr<BackendConnection>> in_flight_;
-  IdleOrder idle_order_;  // over all backends, the longest idle first
+  IdleOrder idle_order_;  // idle connections of all backends, the longest idle first
 };
 
 }  // namespace gateway::net
