--- a/src/net/attempt_result.h
+++ b/src/net/attempt_result.h
@@ -1,4 +1,4 @@
-// How one attempt at a backend ended, and how an HTTP response becomes that.
+// The result of one attempt at a backend, and its derivation from an HTTP response.
 #ifndef GATEWAY_NET_ATTEMPT_RESULT_H_
 #define GATEWAY_NET_ATTEMPT_RESULT_H_
 
@@ -11,16 +11,16 @@
 
 struct AttemptResult {
   policy::CallResult result = policy::CallResult::kOk;
-  double duration_s = 0;         // from the call of Send to the end
-  double actual_cost_units = 0;  // the cost that the backend measured; 0 where it reported none
-  // Of a 200 response only:
-  std::string headers;  // its end-to-end field lines, each ended by CRLF
+  double duration_s = 0;         // from the start of the attempt to its end
+  double actual_cost_units = 0;  // the cost that the backend measured; 0 if it reported none
+  // The following fields are only set for a 200 response.
+  std::string headers;  // end-to-end field lines, each terminated by CRLF
   std::string body;
 };
 
-// The result that a complete final response means: 200 is a success, 503 or 504 with Not-Started a rejection
-// of a request that has not run, anything else an error of a request that may have run. Moves the body out of
-// `response`; does not set the duration.
+// Converts a complete final response to a result. Status 200 is a success; 503 or 504 with the Not-Started
+// field is a rejection of a request that has not run; any other response is an error of a request that may
+// have run. Moves the body out of `response`. Does not set the duration.
 AttemptResult ToAttemptResult(http::response<http::string_body>* response);
 
 }  // namespace gateway::net
--- a/src/net/backend_membership.cpp
+++ b/src/net/backend_membership.cpp
@@ -17,7 +17,7 @@
     }
   }
   if (kind == policy::EndpointUpdateKind::kDelta) {
-    ChangeMembers(list);
+    UpdateMembers(list);
   } else {
     ReplaceMembers(list);
   }
@@ -34,7 +34,7 @@
   members_ = std::move(named);
 }
 
-void BackendMembership::ChangeMembers(const EndpointList& list) {
+void BackendMembership::UpdateMembers(const EndpointList& list) {
   for (const ListedEndpoint& listed : list.endpoints) {
     auto member = std::find(members_.begin(), members_.end(), listed.endpoint.id);
     bool removed = listed.endpoint.state == EndpointState::kRemoved;
--- a/src/net/backend_request.cpp
+++ b/src/net/backend_request.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr size_t kTypicalHeadBytes = 512;
-constexpr size_t kTimeoutFieldBytes = 48;  // at most, with the empty line after it
+constexpr size_t kMaxTimeoutFieldBytes = 48;  // includes the empty line that ends the head
 constexpr char kDefaultHostField[] = "Host: app.svc\r\n";
 
 }  // namespace
@@ -32,7 +32,7 @@
 std::string BuildBackendRequest(const InFlightRequest& request, double time_left_s) {
   long timeout_ms = std::max(1L, std::lround(time_left_s * 1000));
   std::string message;
-  message.reserve(request.head.size() + request.body.size() + kTimeoutFieldBytes);
+  message.reserve(request.head.size() + request.body.size() + kMaxTimeoutFieldBytes);
   message.append(request.head).append(kTimeoutMsField).append(": ");
   message.append(std::to_string(timeout_ms)).append("\r\n\r\n");
   message.append(request.body);
