--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -11,8 +11,8 @@
 namespace gateway::net {
 namespace {
 
-constexpr int kFailuresBeforeFullList = 3;  // in a row
-constexpr int kMaxDoublings = 8;            // of backoff and silence
+constexpr int kFailuresBeforeFullList = 3;  // consecutive failures
+constexpr int kMaxBackoffDoublings = 8;     // of the backoff and of the silence limit
 
 }  // namespace
 
@@ -33,7 +33,7 @@
       connection_(io),
       pause_timer_(io) {}
 
-DiscoveryClient::~DiscoveryClient() { EndExchanges(); }
+DiscoveryClient::~DiscoveryClient() { AbortExchanges(); }
 
 void DiscoveryClient::Start() {
   if (started_) return;
@@ -41,18 +41,18 @@
   Poll();
 }
 
-// The index that the agent before gave means nothing to this one.
+// Requests the full list, because the previous agent's index means nothing to the new agent.
 void DiscoveryClient::SwitchTo(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  need_full_list_ = true;
+  needs_full_list_ = true;
   failures_ = 0;
-  EndExchanges();
+  AbortExchanges();
   CloseSocket(connection_);
   if (started_) Poll();
 }
 
-void DiscoveryClient::EndExchanges() {
+void DiscoveryClient::AbortExchanges() {
   for (auto* exchange : {&exchange_, &overdue_}) {
     if (*exchange != nullptr) (*exchange)->Abort();
     exchange->reset();
@@ -64,19 +64,19 @@
   DiscoveryExchange::Timeouts timeouts{MaxSilence(), Seconds(options_.response_timeout_s)};
   DiscoveryExchange::Owner* owner = this;
   exchange_ = std::make_shared<DiscoveryExchange>(owner, std::exchange(connection_, tcp::socket(io_)),
-                                                  address_, ComposeRequest(), timeouts);
-  auto started = exchange_;  // a failure at once drops the client's reference
+                                                  address_, BuildRequest(), timeouts);
+  auto started = exchange_;  // an immediate failure resets exchange_
   started->Start();
 }
 
-DiscoveryExchange::Request DiscoveryClient::ComposeRequest() const {
+DiscoveryExchange::Request DiscoveryClient::BuildRequest() const {
   DiscoveryExchange::Request request;
-  request.watch = index_.has_value() && !need_full_list_;
-  // After a failure the agent answers at once with what is new; only the exchange after that waits.
+  request.watch = index_.has_value() && !needs_full_list_;
+  // After a failure the agent is to answer immediately with any changes; only the next exchange waits.
   bool may_wait = request.watch && failures_ == 0;
   auto wait = std::chrono::ceil<std::chrono::milliseconds>(
       DetectionFraction(may_wait ? options_.watch_wait_fraction : 0));
-  request.may_wait = wait;
+  request.max_wait = wait;
   request.text = std::string("GET ") + kEndpointListPath;
   if (request.watch) {
     request.text += std::string("?") + kWatchIndexParameter + "=" + std::to_string(*index_);
@@ -86,55 +86,56 @@
   return request;
 }
 
-// Of the current exchange or the overdue one.
+// Called by the current exchange or the overdue one.
 void DiscoveryClient::OnResponse(DiscoveryExchange* exchange) {
   std::optional<EndpointList> parsed = ParseList(exchange->body());
   bool acceptable = parsed && IsAcceptable(*parsed, exchange->watch());
-  Clock::duration waited = Clock::now() - exchange->began_at();
-  bool watch = exchange->watch();
+  Clock::duration duration = Clock::now() - exchange->started_at();
+  bool is_watch = exchange->watch();
   connection_ = exchange->TakeConnection();
-  EndExchanges();
+  AbortExchanges();
   if (!acceptable) {
     CloseSocket(connection_);
-    return HandleFailure(waited);
+    return HandleFailure(duration);
   }
   EndpointList& list = *parsed;
 
   LogRecovery();
-  bool nothing_new = watch && index_ == list.index;
-  bool early = waited < DetectionFraction(options_.watch_wait_fraction * options_.early_response_fraction);
-  need_full_list_ = false;
+  bool unchanged = is_watch && index_ == list.index;
+  bool early = duration < DetectionFraction(options_.watch_wait_fraction * options_.early_response_fraction);
+  needs_full_list_ = false;
   index_ = list.index;
   failures_ = 0;
   list.notified_at = std::exchange(last_response_at_, Clock::now());
-  if (nothing_new && early) {
+  if (unchanged && early) {
     PollAfter(Seconds(options_.early_response_pause_s));
   } else {
-    Poll();  // before the list is handled: a watch lives on only for 200 ms between its exchanges
+    // Polls before the list is handled, because a watch persists only for 200 ms between its exchanges.
+    Poll();
   }
   on_list_(std::move(list));
 }
 
 void DiscoveryClient::OnOverdue(DiscoveryExchange* exchange) {
-  Clock::duration waited = Clock::now() - exchange->began_at();
+  Clock::duration duration = Clock::now() - exchange->started_at();
   if (overdue_ == nullptr) {
     overdue_ = std::move(exchange_);
   } else {
-    exchange_->Abort();  // the older one may be answered sooner
+    exchange_->Abort();  // the older exchange is kept because it may be answered sooner
   }
   exchange_.reset();
-  HandleFailure(waited);
+  HandleFailure(duration);
 }
 
 void DiscoveryClient::OnFailed(DiscoveryExchange* exchange) {
-  Clock::duration waited = Clock::now() - exchange->began_at();
-  if (exchange == overdue_.get()) return overdue_.reset();  // it has counted as failed already
+  Clock::duration duration = Clock::now() - exchange->started_at();
+  if (exchange == overdue_.get()) return overdue_.reset();  // it has already been counted as failed
   exchange_.reset();
-  HandleFailure(waited);
+  HandleFailure(duration);
 }
 
-// None where the body is no endpoint list, or where there is no memory for it: the list as last received
-// holds on.
+// Returns nothing if the body is not an endpoint list or there is not enough memory for it; the last list
+// received then stays in effect.
 std::optional<EndpointList> DiscoveryClient::ParseList(const std::string& body) {
   try {
     return ParseEndpointList(nlohmann::json::parse(body), deployment_, ids_);
@@ -147,35 +148,36 @@
   }
 }
 
-// An index that goes back belongs to another numbering, or to an old response. Applied as a change it could
-// bring back a backend that is gone; only a full list that was asked for as such says what holds now.
-bool DiscoveryClient::IsAcceptable(const EndpointList& list, bool watch) {
-  if (!watch) return list.full;
+// A response to a poll must be a full list, and a response to a watch must not have a lower index than the
+// last list. A lower index belongs to another numbering or to an outdated response; applied as a change, the
+// list could bring back a backend that is gone. Only a requested full list then tells the current state.
+bool DiscoveryClient::IsAcceptable(const EndpointList& list, bool is_watch) {
+  if (!is_watch) return list.full;
   if (list.index >= *index_) return true;
-  need_full_list_ = true;
+  needs_full_list_ = true;
   return false;
 }
 
-// After a short gap a watch goes on from the same index. After a longer one the full list is asked for, so
-// that no change is missed whatever the agent still remembers.
-void DiscoveryClient::HandleFailure(Clock::duration waited) {
-  last_failure_wait_ = waited;
+// After a few failures a watch resumes from the same index. After more, the full list is requested, so that
+// no change is missed even if the agent no longer has the changes since that index.
+void DiscoveryClient::HandleFailure(Clock::duration exchange_duration) {
+  last_failure_duration_ = exchange_duration;
   ++failures_;
   if (failures_ == kFailuresBeforeFullList) {
     log_.Write("discovery_silent failures=" + std::to_string(failures_));
   }
-  if (failures_ >= kFailuresBeforeFullList) need_full_list_ = true;
+  if (failures_ >= kFailuresBeforeFullList) needs_full_list_ = true;
   PollAfter(Backoff());
   on_failure_();
 }
 
-// Tells apart, for a change that was applied late, an agent that answered late from an exchange that was
-// waited for too long: `last_wait_s` is how long the last exchange that failed lasted.
+// `last_wait_s` is the duration of the last failed exchange. For a change that was applied late, it shows
+// whether the agent answered late or the client waited too long for an exchange.
 void DiscoveryClient::LogRecovery() const {
   if (failures_ < kFailuresBeforeFullList) return;
   log_.Write("discovery_recovered failures=" + std::to_string(failures_) +
              " silent_s=" + FormatSeconds(Clock::now() - last_response_at_) +
-             " last_wait_s=" + FormatSeconds(last_failure_wait_));
+             " last_wait_s=" + FormatSeconds(last_failure_duration_));
 }
 
 void DiscoveryClient::PollAfter(Clock::duration pause) {
@@ -186,15 +188,16 @@
   });
 }
 
-// Longer with each failure, so that an agent that pauses longer than expected is not polled twice each time.
+// Returns the silence limit of the next exchange. It doubles with each failure, so that an agent that
+// regularly pauses longer than expected is not polled twice each time.
 Clock::duration DiscoveryClient::MaxSilence() const {
   Clock::duration silence = DetectionFraction(options_.silence_fraction);
-  return std::min(silence * (1 << std::min(failures_, kMaxDoublings)),
+  return std::min(silence * (1 << std::min(failures_, kMaxBackoffDoublings)),
                   Seconds(MaxSilenceS(options_, detection_time_s_)));
 }
 
 Clock::duration DiscoveryClient::Backoff() const {
-  double backoff_s = options_.backoff_base_s * (1 << std::min(failures_, kMaxDoublings));
+  double backoff_s = options_.backoff_base_s * (1 << std::min(failures_, kMaxBackoffDoublings));
   return std::min(Seconds(backoff_s), DetectionFraction(options_.max_backoff_fraction));
 }
 
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -1,4 +1,5 @@
-// Follows discovery: the full endpoint list first, then one watch after another.
+// The client of discovery. It polls the full endpoint list first and then follows changes with one watch
+// after another.
 #ifndef GATEWAY_NET_DISCOVERY_CLIENT_H_
 #define GATEWAY_NET_DISCOVERY_CLIENT_H_
 
@@ -19,117 +20,121 @@
 
 namespace gateway::net {
 
-// The time parts of the client.
+// The client's timeouts and intervals.
 //
-// A change counts as notified as soon as the agent has it, whether or not it reaches this gateway. So the
-// grace of a draining backend also runs while an exchange hangs, and from the agent's return after an outage.
-// The detection time is the part of that grace in which a hanging exchange has to be noticed and the agent
-// polled anew: grace - connect timeout - margin, between the bounds below. The fractions are of it. The agent
-// is on the gateway's machine and answers at once, so short time-outs and more calls cost little.
+// A change counts as notified as soon as discovery's agent has it, whether or not it reaches this gateway.
+// The grace of a draining backend therefore also elapses while an exchange hangs, and from the moment at
+// which the agent returns after an outage. The detection time is the part of that grace within which a
+// hanging exchange must be noticed and the agent polled again: grace - connect timeout - margin, clamped to
+// the limits below. Unless noted otherwise, fractions are fractions of the detection time. The agent runs on
+// the gateway's machine and answers immediately, so short timeouts and additional calls cost little.
 struct DiscoveryClientOptions {
   double min_detection_time_s = 0.25;
-  double short_grace_fraction = 0.5;  // of a grace so short that the minimum would be more than this
-  double floor_detection_time_s = 0.05;
-  double max_detection_time_s = 2;   // for long graces
-  double detection_margin_s = 0.1;   // off the grace: what a busy core may take
-  double watch_wait_fraction = 0.5;  // how long a watch waits for a change
-  double silence_fraction = 0.3;     // without a byte after a watch's wait, until another exchange begins
-  // For a complete response, at whatever pace it comes: the list of 6,700 backends has 1 MB, which takes a
-  // twentieth of a core one second.
+  // For short graces, min_detection_time_s is reduced to this fraction of the grace.
+  double max_fraction_of_short_grace = 0.5;
+  double absolute_min_detection_time_s = 0.05;  // lower limit for the shortest graces
+  double max_detection_time_s = 2;              // upper limit for long graces
+  double detection_margin_s = 0.1;              // subtracted from the grace for delays on a busy core
+  double watch_wait_fraction = 0.5;             // time for which a watch waits for a change
+  double silence_fraction = 0.3;  // time without a byte after a watch's wait until another exchange starts
+  // Timeout of a complete response, however slowly it arrives. The list of 6,700 backends has 1 MB and
+  // takes one second to read with a twentieth of a core.
   double response_timeout_s = 1.2;
-  // Between failed exchanges: the base, doubled with each failure in a row.
+  // Backoff after the first failed exchange. It doubles with each consecutive failure.
   double backoff_base_s = 0.02;
   double max_backoff_fraction = 0.15;
-  // A watch that is answered with nothing new in less than this fraction of its wait is renewed only after
-  // the pause. Guards against an agent that does so each time, which would keep the gateway busy. The pause
-  // is well within the 200 ms in which a watch lives on (PROTOCOL, Discovery).
+  // A watch that is answered without a change in less than this fraction of its wait is renewed only after a
+  // pause. This guards against an agent that always does so, which would keep the gateway busy. The pause is
+  // well below the 200 ms for which a watch persists between exchanges (PROTOCOL, Discovery).
   double early_response_fraction = 0.5;
   double early_response_pause_s = 0.02;
 };
 
+// Returns the detection time for a drain grace; see DiscoveryClientOptions.
 constexpr double DetectionTimeS(const DiscoveryClientOptions& options, double drain_grace_s,
                                 double connect_timeout_s) {
-  double least_s = std::clamp(options.short_grace_fraction * drain_grace_s, options.floor_detection_time_s,
-                              options.min_detection_time_s);
-  return std::clamp(drain_grace_s - connect_timeout_s - options.detection_margin_s, least_s,
+  double min_s = std::clamp(options.max_fraction_of_short_grace * drain_grace_s,
+                            options.absolute_min_detection_time_s, options.min_detection_time_s);
+  return std::clamp(drain_grace_s - connect_timeout_s - options.detection_margin_s, min_s,
                     options.max_detection_time_s);
 }
 
-// The longest silence after which the agent is polled anew, whatever failed before: with the backoff it fits
-// into the detection time.
+// Returns the longest silence after which the agent is polled again, regardless of the number of earlier
+// failures. Together with the backoff it fits into the detection time.
 constexpr double MaxSilenceS(const DiscoveryClientOptions& options, double detection_time_s) {
   return std::min((1 - options.max_backoff_fraction) * detection_time_s, options.response_timeout_s);
 }
 
-// The longest time, in s, for which an agent that answers at once is not polled anew, counted from when it
-// has a change and can be reached: an exchange that began just before hangs.
-// - The first to hang is a watch: its wait, its silence and the backoff.
-// - The later ones do not wait: the longest silence and the backoff.
-constexpr double WorstSilenceTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
+// Returns the longest time until an agent that answers immediately is polled again, counted from the moment
+// at which it has a change and can be reached. The worst case is an exchange that started just before that
+// moment and hangs:
+// - If it is the first one to hang, it is a watch and takes its wait, its silence limit and the backoff.
+// - A later one has no wait and takes the longest silence limit and the backoff.
+constexpr double MaxRepollDelayS(const DiscoveryClientOptions& options, double detection_time_s) {
   double backoff_s = options.max_backoff_fraction * detection_time_s;
   double watch_s = (options.watch_wait_fraction + options.silence_fraction) * detection_time_s + backoff_s;
   return std::max(watch_s, MaxSilenceS(options, detection_time_s) + backoff_s);
 }
 
-// Whether a drain is learnt within its grace, the margin taken off, after any silence of the agent. Not said
-// of graces below kShortestGraceS, in which no process on a busy core can be relied on.
-inline constexpr double kShortestGraceS = 0.2;
-constexpr bool LearnsDrainsWithinTheGrace(const DiscoveryClientOptions& options) {
+// Returns whether the client learns of a drain within its grace, less the margin, after any silence of the
+// agent. Graces below kMinCheckedGraceS are not checked, because no process on a busy core reliably reacts
+// that fast.
+inline constexpr double kMinCheckedGraceS = 0.2;
+constexpr bool DetectsDrainsWithinGrace(const DiscoveryClientOptions& options) {
   constexpr double kStepS = 0.05;
-  constexpr double kLongestGraceS = 10, kLongestConnectTimeoutS = 2;
-  for (double grace_s = kShortestGraceS; grace_s < kLongestGraceS; grace_s += kStepS) {
-    for (double connect_s = 0; connect_s < kLongestConnectTimeoutS; connect_s += kStepS) {
-      double worst_s = WorstSilenceTimeS(options, DetectionTimeS(options, grace_s, connect_s));
-      if (worst_s > grace_s - options.detection_margin_s + 1e-9) return false;
+  constexpr double kMaxCheckedGraceS = 10, kMaxCheckedConnectTimeoutS = 2;
+  for (double grace_s = kMinCheckedGraceS; grace_s < kMaxCheckedGraceS; grace_s += kStepS) {
+    for (double connect_s = 0; connect_s < kMaxCheckedConnectTimeoutS; connect_s += kStepS) {
+      double max_repoll_delay_s = MaxRepollDelayS(options, DetectionTimeS(options, grace_s, connect_s));
+      if (max_repoll_delay_s > grace_s - options.detection_margin_s + 1e-9) return false;
     }
   }
   return true;
 }
-static_assert(LearnsDrainsWithinTheGrace({}));
+static_assert(DetectsDrainsWithinGrace({}));
 
-// The longest time, in s, from when the agent has a change and can be reached until the gateway has it,
-// where responses are late as well. The worst case is three exchanges, each of whose responses takes all of
-// its time-out:
-// 1. a watch that began just before the change, and whose response is old or cut off;
-// 2. after a backoff, a poll that does not wait, and whose response has an index that goes back;
+// Returns the longest time from the moment at which the agent has a change and can be reached until the
+// gateway has it, if responses are late as well. The worst case is three exchanges, the response of each of
+// which takes its whole timeout:
+// 1. a watch that started just before the change and whose response is outdated or truncated;
+// 2. after a backoff, a poll without a wait whose response has a lower index than the last list;
 // 3. after a backoff, a poll for the full list.
-constexpr double WorstNotificationTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
+constexpr double MaxNotificationDelayS(const DiscoveryClientOptions& options, double detection_time_s) {
   double backoff_s = options.max_backoff_fraction * detection_time_s;
   return options.watch_wait_fraction * detection_time_s + options.response_timeout_s +
          2 * (backoff_s + options.response_timeout_s);
 }
 
-// The longest time, in s, from SwitchTo() until the gateway has the new agent's list. No exchange is under
-// way then, and the first asks for the full list already: at worst it fails and is repeated.
-constexpr double WorstSwitchTimeS(const DiscoveryClientOptions& options, double detection_time_s) {
+// Returns the longest time from SwitchTo() until the gateway has the new agent's list. SwitchTo() aborts all
+// exchanges and requests the full list; in the worst case this first exchange fails and is repeated.
+constexpr double MaxSwitchDelayS(const DiscoveryClientOptions& options, double detection_time_s) {
   double backoff_s = options.max_backoff_fraction * detection_time_s;
   return options.response_timeout_s + backoff_s + options.response_timeout_s;
 }
 
-// By then at the latest the gateway has to act on a change, counted from when discovery had it and could be
-// reached, and from SIGHUP (the operators' STANDING page). The times above have to stay below for every
-// grace.
-inline constexpr double kNotificationLimitS = 6;
-inline constexpr double kSwitchNotificationLimitS = 4;
-static_assert(WorstNotificationTimeS({}, DiscoveryClientOptions{}.max_detection_time_s) <
-              kNotificationLimitS);
-static_assert(WorstSwitchTimeS({}, DiscoveryClientOptions{}.max_detection_time_s) <
-              kSwitchNotificationLimitS);
-
-// Polls one agent at a time. An exchange that fails is repeated after a backoff, for ever. One that hangs
-// counts as failed as soon as it is overdue, so that the next one begins in time for a drain's grace; it is
-// still listened to beside that one, so that an agent which answers late is heard too. The first of the two
-// to bring a list ends both. At most one overdue exchange is kept.
+// The longest times after which the gateway must act on a change (the operators' STANDING page). The times
+// above must stay below these limits for every grace.
+inline constexpr double kNotificationLimitS = 6;        // from when discovery has it and can be reached
+inline constexpr double kSwitchNotificationLimitS = 4;  // from SIGHUP
+static_assert(MaxNotificationDelayS({}, DiscoveryClientOptions{}.max_detection_time_s) < kNotificationLimitS);
+static_assert(MaxSwitchDelayS({}, DiscoveryClientOptions{}.max_detection_time_s) < kSwitchNotificationLimitS);
+
+// Polls one agent at a time. A failed exchange is repeated after a backoff, without a limit on the number of
+// attempts. An exchange that hangs counts as failed as soon as it is overdue, so that the next one starts in
+// time for a drain's grace. The overdue exchange stays open beside the next one, so that a late response of
+// the agent is still accepted. The first of the two to receive a list ends both. At most one overdue exchange
+// is kept.
 class DiscoveryClient : private DiscoveryExchange::Owner {
  public:
-  // A list was received; its `notified_at` is set. When it is called the next exchange has begun or is
-  // scheduled, so it may call Start() and SwitchTo().
+  // Called when a list has been received; its `notified_at` is set. The next exchange has already started or
+  // is scheduled, so the callback may call Start() and SwitchTo().
   using OnList = std::function<void(EndpointList)>;
-  // An exchange failed, and will be repeated. Nothing is known to have changed. The same holds.
+  // Called when an exchange has failed; it will be repeated. The last list received stays in effect. The
+  // callback may call Start() and SwitchTo().
   using OnFailure = std::function<void()>;
 
-  // `deployment`, `ids` and `log` outlive the client. Both callbacks are called from the event loop only,
-  // except that `on_failure` may come from within Start() and SwitchTo() where no socket can be opened.
+  // `deployment`, `ids` and `log` must outlive the client. Both callbacks are called from the event loop
+  // only, except that Start() and SwitchTo() call `on_failure` if no socket can be opened.
   DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
                   const config::DeploymentSettings& deployment, EndpointIds* ids, OnList on_list,
                   OnFailure on_failure, Log* log, const DiscoveryClientOptions& options = {});
@@ -137,28 +142,27 @@
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  // Begins to poll; never stops. Called again it does nothing, as by later PollDiscovery actions of the
-  // policy.
+  // Starts to poll; polling never stops. Further calls, as for later PollDiscovery actions of the policy, do
+  // nothing.
   void Start();
 
-  // Polls the agent at another address for the full list, at once.
+  // Immediately polls the agent at another address for the full list.
   void SwitchTo(const tcp::endpoint& address);
 
  private:
-  // DiscoveryExchange::Owner.
+  // DiscoveryExchange::Owner implementation.
   void OnResponse(DiscoveryExchange* exchange) override;
   void OnOverdue(DiscoveryExchange* exchange) override;
   void OnFailed(DiscoveryExchange* exchange) override;
 
   void Poll();
-  DiscoveryExchange::Request ComposeRequest() const;
+  DiscoveryExchange::Request BuildRequest() const;
   std::optional<EndpointList> ParseList(const std::string& body);
-  bool IsAcceptable(const EndpointList& list, bool watch);
-  void EndExchanges();
-  void HandleFailure(Clock::duration waited);
+  bool IsAcceptable(const EndpointList& list, bool is_watch);
+  void AbortExchanges();
+  void HandleFailure(Clock::duration exchange_duration);
   void LogRecovery() const;
 
-  // Time.
   void PollAfter(Clock::duration pause);
   Clock::duration MaxSilence() const;
   Clock::duration Backoff() const;
@@ -175,18 +179,19 @@
   Log& log_;
 
   bool started_ = false;
-  std::optional<uint64_t> index_;  // of the list as last received
-  bool need_full_list_ = true;
-  int failures_ = 0;  // in a row
-  // How long the last exchange that failed was waited for.
-  Clock::duration last_failure_wait_{};
-  // When the agent last answered: what it tells later it did not have before.
+  std::optional<uint64_t> index_;  // index of the last list received
+  bool needs_full_list_ = true;
+  int failures_ = 0;  // consecutive failed exchanges
+  // Time from the start of the last failed exchange until it counted as failed.
+  Clock::duration last_failure_duration_{};
+  // Time of the agent's last response. Changes in a later response count as notified from then on, because
+  // the agent may have had them since.
   Clock::time_point last_response_at_;
 
-  std::shared_ptr<DiscoveryExchange> exchange_;  // null while pausing
-  std::shared_ptr<DiscoveryExchange> overdue_;   // an earlier one that may still be answered; or null
-  tcp::socket connection_;                       // of the last exchange, for the next; or closed
-  asio::steady_timer pause_timer_;               // until the next exchange
+  std::shared_ptr<DiscoveryExchange> exchange_;  // null while waiting to start the next one
+  std::shared_ptr<DiscoveryExchange> overdue_;   // an earlier exchange that may still be answered, or null
+  tcp::socket connection_;                       // kept from the last exchange for the next one, or closed
+  asio::steady_timer pause_timer_;               // expires when the next exchange is to start
 };
 
 }  // namespace gateway::net
--- a/src/net/discovery_exchange.cpp
+++ b/src/net/discovery_exchange.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr size_t kMaxListBytes = size_t{8} << 20;
-constexpr int kMaxInterimResponses = 16;  // 1xx, ahead of the final one
+constexpr int kMaxInterimResponses = 16;  // 1xx responses before the final response
 
 }  // namespace
 
@@ -17,16 +17,16 @@
       address_(address),
       request_(std::move(request)),
       timeouts_(timeouts),
-      began_at_(Clock::now()),
-      response_deadline_(began_at_ + request_.may_wait + timeouts.response),
+      started_at_(Clock::now()),
+      response_deadline_(started_at_ + request_.max_wait + timeouts.response),
       socket_(std::move(connection)),
       timer_(socket_.get_executor()),
-      max_silence_(request_.may_wait + timeouts.silence) {
+      max_silence_(request_.max_wait + timeouts.silence) {
   ResetParser(&parser_, kMaxListBytes);
 }
 
 void DiscoveryExchange::Start() {
-  AwaitBytes();
+  ArmTimer();
   if (socket_.is_open() && !IsStale(socket_)) return Send();
   CloseSocket(socket_);
   Connect();
@@ -54,7 +54,8 @@
   });
 }
 
-// An agent whose socket does not take one short line does not read it.
+// Fails if the socket does not accept the whole short request at once, because an agent with a full socket
+// buffer is not reading.
 void DiscoveryExchange::Send() {
   state_ = State::kReceiving;
   error_code error;
@@ -66,14 +67,14 @@
 void DiscoveryExchange::Receive() {
   socket_.async_read_some(buffer_.prepare(kReadChunkBytes),
                           [self = shared_from_this(), this](error_code error, size_t size) {
-                            if (state_ != State::kEnded) OnBytes(error, size);
+                            if (state_ != State::kEnded) OnReceived(error, size);
                           });
 }
 
-void DiscoveryExchange::OnBytes(error_code error, size_t size) {
+void DiscoveryExchange::OnReceived(error_code error, size_t size) {
   buffer_.commit(size);
   if (size > 0) max_silence_ = timeouts_.silence;
-  AwaitBytes();
+  ArmTimer();
   error_code parse_error;
   if (error == asio::error::eof && parser_->got_some()) {
     parser_->put_eof(parse_error);
@@ -87,7 +88,7 @@
   Receive();
 }
 
-// Passes over interim responses.
+// Parses the received bytes and skips interim responses.
 error_code DiscoveryExchange::ParseReceived() {
   error_code error;
   if (!parser_->is_done()) error = FeedParser(*parser_, buffer_);
@@ -112,10 +113,10 @@
   owner_->OnFailed(this);
 }
 
-// Counted anew from each byte, so that a long list may take its time, but never past the response's deadline.
-// Guards against an agent that falls silent (a hung process, or a machine that was cut off: nothing closes
-// the connection) and against one whose response never ends.
-void DiscoveryExchange::AwaitBytes() {
+// Arms the timer for the silence limit, which restarts with each received byte so that a long list has enough
+// time, and at most for the response's deadline. This guards against an agent that falls silent, where a hung
+// process or a disconnected machine does not close the connection, and against a response that never ends.
+void DiscoveryExchange::ArmTimer() {
   Clock::time_point silent_at = Clock::now() + max_silence_;
   timer_.expires_at(overdue_ ? response_deadline_ : std::min(silent_at, response_deadline_));
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
@@ -124,13 +125,13 @@
 }
 
 void DiscoveryExchange::OnTimer() {
-  // Bytes were handled after this wait had expired, and the timer was armed anew.
+  // Bytes were handled after this wait had expired, and the timer was armed again.
   if (Clock::now() < timer_.expiry()) return;
-  // Bytes that have come and are not read yet, in a busy event loop, are no silence.
-  if (socket_.is_open() && HasUnreadBytes(socket_)) return AwaitBytes();
+  // The agent is not silent if a busy event loop has not yet read the bytes received from it.
+  if (socket_.is_open() && HasUnreadBytes(socket_)) return ArmTimer();
   if (Clock::now() >= response_deadline_) return Fail();
   overdue_ = true;
-  AwaitBytes();
+  ArmTimer();
   owner_->OnOverdue(this);
 }
 
--- a/src/net/discovery_exchange.h
+++ b/src/net/discovery_exchange.h
@@ -1,4 +1,4 @@
-// One exchange with discovery's agent: a request for the endpoint list and its response.
+// One exchange with discovery's agent, which consists of a request for the endpoint list and its response.
 #ifndef GATEWAY_NET_DISCOVERY_EXCHANGE_H_
 #define GATEWAY_NET_DISCOVERY_EXCHANGE_H_
 
@@ -12,22 +12,23 @@
 
 namespace gateway::net {
 
-// Sends one request, on a connection of the exchange before or on a new one, and reads the response to it.
-// Interim responses are passed over.
+// Sends one request on the connection of the previous exchange or on a new one and reads the response.
+// Interim responses are skipped.
 //
-// Ownership: the owner and the pending operations of the exchange share it. It ends with OnResponse,
-// OnFailed or Abort(); no callback comes after that.
+// The owner and the pending operations of the exchange share its ownership. The exchange ends with
+// OnResponse, OnFailed or Abort(); no callback is called after that.
 class DiscoveryExchange : public std::enable_shared_from_this<DiscoveryExchange> {
  public:
-  // Always called within a handler of the exchange, or within Start().
+  // Receives the events of the exchange. Its functions are called within an I/O handler of the exchange or
+  // within Start().
   class Owner {
    public:
-    // A complete response with status 200 has come.
+    // Called when a complete response with status 200 has been received.
     virtual void OnResponse(DiscoveryExchange* exchange) = 0;
-    // The agent has been silent for too long to go by this exchange alone. Called once. The exchange goes on
-    // until its response's time is over, unless the owner aborts it.
+    // Called once, when the agent has been silent for so long that the owner should start another exchange.
+    // This exchange continues until its response timeout unless the owner aborts it.
     virtual void OnOverdue(DiscoveryExchange* exchange) = 0;
-    // The exchange has ended without a response that can be used; its connection is closed.
+    // Called when the exchange has ended without a usable response and its connection has been closed.
     virtual void OnFailed(DiscoveryExchange* exchange) = 0;
 
    protected:
@@ -36,30 +37,33 @@
 
   struct Request {
     std::string text;
-    bool watch = false;          // else a poll for the full list
-    Clock::duration may_wait{};  // how long the agent may wait for a change
+    bool watch = false;          // false for a poll for the full list
+    Clock::duration max_wait{};  // time for which the agent may wait for a change
   };
 
   struct Timeouts {
-    Clock::duration silence;   // without a byte, beyond what the agent may wait
-    Clock::duration response;  // until the response is complete, beyond what the agent may wait
+    // Both are in addition to the time for which the agent may wait for a change.
+    Clock::duration silence;   // time without a byte
+    Clock::duration response;  // time until the response is complete
   };
 
-  // `connection`: of an earlier exchange, or a closed socket. `owner` outlives the exchange or aborts it.
+  // `connection` is the connection of an earlier exchange or a closed socket. `owner` must outlive the
+  // exchange or abort it.
   DiscoveryExchange(Owner* owner, tcp::socket connection, const tcp::endpoint& address, Request request,
                     const Timeouts& timeouts);
 
-  // Call once.
+  // Must be called exactly once.
   void Start();
 
   // Ends the exchange without a callback and closes its connection.
   void Abort();
 
   bool watch() const { return request_.watch; }
-  Clock::time_point began_at() const { return began_at_; }
+  Clock::time_point started_at() const { return started_at_; }
 
-  // In OnResponse: the response's body, and the connection, closed where it cannot be used again.
+  // The response's body. Only valid in OnResponse.
   const std::string& body() const { return parser_->get().body(); }
+  // Releases the connection, which is closed if it cannot be reused. Only valid in OnResponse.
   tcp::socket TakeConnection();
 
  private:
@@ -68,18 +72,18 @@
   void Connect();
   void Send();
   void Receive();
-  void OnBytes(error_code error, size_t size);
+  void OnReceived(error_code error, size_t size);
   error_code ParseReceived();
   void OnResponseComplete();
   void Fail();
-  void AwaitBytes();
+  void ArmTimer();
   void OnTimer();
 
   Owner* const owner_;
   const tcp::endpoint address_;
   const Request request_;
   const Timeouts timeouts_;
-  const Clock::time_point began_at_;
+  const Clock::time_point started_at_;
   const Clock::time_point response_deadline_;
   State state_ = State::kNew;
   tcp::socket socket_;
@@ -87,7 +91,7 @@
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> parser_;
   int interim_responses_ = 0;
-  Clock::duration max_silence_;  // until the next byte
+  Clock::duration max_silence_;  // limit of the wait for the next byte
   bool overdue_ = false;
 };
 
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -18,7 +18,7 @@
 
 constexpr double kMsPerS = 1000;
 
-// The index of the name; of one that the settings do not have, their number.
+// Returns the index of the name in `names`, or the number of names if it is not among them.
 int IndexOfName(const std::vector<std::string>& names, const std::string& name) {
   return config::FindName(names, name).value_or(static_cast<int>(names.size()));
 }
@@ -27,7 +27,7 @@
   if (status == "active") return EndpointState::kReady;
   if (status == "leaving") return EndpointState::kDraining;
   if (status == "left") return EndpointState::kRemoved;
-  throw DiscoveryError("unknown status " + status);
+  throw DiscoveryError("endpoint status must be active, leaving or left, but is " + status);
 }
 
 NamedEndpoint ParseEndpoint(const json& entry, const config::DeploymentSettings& deployment) {
@@ -43,13 +43,13 @@
   endpoint.weight = entry.value("weight", 1.0);
   endpoint.started_s = entry.value("since_ms", 0.0) / kMsPerS;
   if (!std::isfinite(endpoint.weight) || !std::isfinite(endpoint.started_s)) {
-    throw DiscoveryError("a figure is not finite");
+    throw DiscoveryError("endpoint weight and since_ms must be finite numbers");
   }
   return {entry.at("name").get<std::string>(), listed};
 }
 
-// In the order of the names, so that names with the same hash get the same ids at every gateway that meets
-// them in one list.
+// Assigns ids in the order of the names, so that names with the same hash get the same ids at every gateway
+// that receives them in the same list.
 void AssignIds(const std::vector<NamedEndpoint>& endpoints, EndpointIds* ids) {
   std::vector<std::string> names;
   names.reserve(endpoints.size());
--- a/src/net/endpoint_list.h
+++ b/src/net/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list that discovery answers with: its JSON form, and the ids that backends get.
+// Parses the endpoint lists of discovery's JSON responses and assigns ids to backends.
 #ifndef GATEWAY_NET_ENDPOINT_LIST_H_
 #define GATEWAY_NET_ENDPOINT_LIST_H_
 
@@ -17,39 +17,41 @@
 
 namespace gateway::net {
 
-// What is wrong with an endpoint list.
+// Thrown for a malformed endpoint list. The message names the fault.
 class DiscoveryError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// A backend as the policy sees it, and where it listens.
+// A backend as the policy sees it, with the address at which it listens.
 struct ListedEndpoint {
   policy::Endpoint endpoint;
-  tcp::endpoint address;  // unspecified where the endpoint is removed
+  tcp::endpoint address;  // unspecified if the endpoint is removed
 };
 
+// An endpoint list as discovery sends it.
 struct EndpointList {
-  uint64_t index = 0;  // the list's version, in discovery's numbering
-  bool full = false;   // else only the endpoints that changed
-  // From when on its changes count as notified to this gateway, however late they are read. Set by the
-  // caller.
+  uint64_t index = 0;  // the list's version in discovery's numbering
+  bool full = false;   // false if the list holds only the endpoints that changed
+  // The time from which the changes count as notified to this gateway, even if it reads them later. Set by
+  // the caller of ParseEndpointList.
   Clock::time_point notified_at{};
   std::vector<ListedEndpoint> endpoints;
 };
 
-// Gives backends ids that are the same at every gateway, since they follow from the names alone. Names with
-// the same hash get the next free numbers; only then may gateways that met them in another order differ.
+// Assigns ids to backends. The ids are derived only from the names, so that they are the same at every
+// gateway. Names with the same hash get the next free ids; only for such names may ids differ between
+// gateways that received the names in a different order.
 class EndpointIds {
  public:
   using Hash = uint32_t (*)(std::string_view);
 
   explicit EndpointIds(Hash hash = &HashName) : hash_(hash) {}
 
-  // The same id whenever it is asked for the same name.
+  // Returns the id of the name and assigns one if it has none. The id of a name never changes.
   uint32_t IdOf(const std::string& name);
 
-  static uint32_t HashName(std::string_view name);  // FNV-1a, 32 bit
+  static uint32_t HashName(std::string_view name);  // 32-bit FNV-1a
 
  private:
   Hash hash_;
@@ -57,7 +59,8 @@
   std::unordered_map<uint32_t, std::string> names_;
 };
 
-// Throws DiscoveryError on anything that is not an endpoint list (PROTOCOL, Discovery); then no id is given.
+// Parses an endpoint list (PROTOCOL, Discovery). Throws DiscoveryError if it is malformed; no id is assigned
+// then.
 EndpointList ParseEndpointList(const nlohmann::json& list, const config::DeploymentSettings& deployment,
                                EndpointIds* ids);
 
