--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -13,11 +13,13 @@
 
 namespace {
 
-// More than one, since a slow shard of the counter holds up all that is pipelined behind it.
+// There is more than one connection because a slow shard of the counter delays all calls that are pipelined
+// behind its own.
 constexpr size_t kMaxConnections = 8;
-constexpr size_t kMaxCallsInFlight = 64;  // on one connection
+constexpr size_t kMaxCallsInFlight = 64;  // per connection
+// Lower limits of the time without a byte after which a connection is closed.
 constexpr auto kMinSilence = std::chrono::milliseconds(1000);
-constexpr int kMinSilenceTimeouts = 2;  // multiple of a call's time-out
+constexpr int kMinSilenceTimeouts = 2;  // multiple of a call's timeout
 constexpr auto kMinBackoff = std::chrono::milliseconds(20);
 constexpr auto kMaxBackoff = std::chrono::milliseconds(500);
 
@@ -40,29 +42,31 @@
 
 void CounterClient::Start() { PickConnection(); }
 
-// The connections before are drained last: that ends calls, whose replies may bring about further calls, and
-// these have to find the new address.
+// Drains the previous connections last, because that ends calls whose replies may cause further calls, which
+// must go to the new address.
 void CounterClient::SwitchTo(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   backoff_ = {};
   no_connect_before_ = {};
-  std::vector<std::shared_ptr<CounterConnection>> before = std::move(connections_);
+  std::vector<std::shared_ptr<CounterConnection>> previous = std::move(connections_);
   connections_.clear();
   Start();
-  for (auto& connection : before) {
+  for (auto& connection : previous) {
     connection->Drain();
     if (!connection->closed()) draining_.push_back(connection);
   }
 }
 
-// An idle connection, else a new one while there may be more, else the one with the fewest calls in flight;
-// one that is connecting only where no other is up. Null while the counter cannot be reached.
+// Returns an idle connection if there is one. Otherwise starts a new connection if the limits allow it and
+// none is being established, and returns the open connection with the fewest calls in flight. Returns a
+// connection that is being established only if no other is open, and null while the counter cannot be
+// reached. Closes connections that are no longer usable.
 CounterConnection* CounterClient::PickConnection() {
   CounterConnection* idle = nullptr;
   CounterConnection* least_loaded = nullptr;
   CounterConnection* connecting = nullptr;
-  std::vector<std::shared_ptr<CounterConnection>> all = connections_;  // closing one changes the member
+  std::vector<std::shared_ptr<CounterConnection>> all = connections_;  // Close() modifies connections_
   for (auto& connection : all) {
     if (!connection->open()) {
       connecting = connection.get();
@@ -100,10 +104,10 @@
   }
   calls_.push_back(call);
   connection->Add(std::move(call), EncodeTally(key, amount, expiry_s));
-  ArmTimeouts();
+  ArmTimer();
 }
 
-// The first end of a call counts: a reply after its time-out is dropped.
+// Reports a call's result. Only the first end of a call counts; a reply after its timeout is dropped.
 void CounterClient::EndCall(const std::shared_ptr<CounterCall>& call, CallResult result, double total) {
   if (call->ended) return;
   call->ended = true;
@@ -114,7 +118,7 @@
   on_reply_(reply);
 }
 
-void CounterClient::ArmTimeouts() {
+void CounterClient::ArmTimer() {
   while (!calls_.empty() && calls_.front()->ended) calls_.pop_front();
   if (timer_armed_ || calls_.empty()) return;
   timer_armed_ = true;
@@ -122,8 +126,8 @@
   timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     timer_armed_ = false;
-    EndOverdueCalls();
-    ArmTimeouts();
+    EndExpiredCalls();
+    ArmTimer();
   });
 }
 
@@ -133,19 +137,20 @@
          std::any_of(draining_.begin(), draining_.end(), has_unread);
 }
 
-// Replies that have come are read first: in a process that was held up they are due at once with the
-// time-outs, and a counter that answers in time would be taken for a silent one.
-void CounterClient::EndOverdueCalls() {
+// Ends calls whose timeout has expired, unless there are unread replies, which must be read first: after the
+// process has stalled, replies and timeouts are due at the same moment, and a counter that answered in time
+// would be taken for a silent one.
+void CounterClient::EndExpiredCalls() {
   while (!calls_.empty()) {
-    bool overdue = !calls_.front()->ended && Clock::now() >= calls_.front()->deadline;
-    if (overdue ? HasUnreadReplies() : !calls_.front()->ended) return;
+    bool expired = !calls_.front()->ended && Clock::now() >= calls_.front()->deadline;
+    if (expired ? HasUnreadReplies() : !calls_.front()->ended) return;
     auto call = std::move(calls_.front());
     calls_.pop_front();
     EndCall(call, call->ResultWithoutReply(), 0);
   }
 }
 
-// Backs off from a counter that cannot be reached: else each call would try a new connection.
+// Backs off if the counter cannot be reached; otherwise each call would try to open a new connection.
 void CounterClient::OnConnectionClosed(CounterConnection* connection, bool unreachable) {
   for (auto* list : {&connections_, &draining_}) {
     std::erase_if(*list, [connection](const auto& other) { return other.get() == connection; });
--- a/src/net/counter_client.h
+++ b/src/net/counter_client.h
@@ -1,4 +1,4 @@
-// Calls to the counter that all gateways share, pipelined on few connections.
+// The client of the counter that all gateways share. Calls are pipelined on a small number of connections.
 #ifndef GATEWAY_NET_COUNTER_CLIENT_H_
 #define GATEWAY_NET_COUNTER_CLIENT_H_
 
@@ -15,11 +15,13 @@
 
 namespace gateway::net {
 
-// Each call ends exactly once: kOk with the total, or without one kRejected or kConnectFailed (nothing was
-// added) or kTimeout (the amount may have been added, or may yet be).
+// Each call ends exactly once, with one of these results:
+// - kOk: the reply holds the total.
+// - kRejected or kConnectFailed: nothing was added.
+// - kTimeout: the amount may have been added or may still be added.
 class CounterClient : private CounterConnection::Owner {
  public:
-  // Called from the event loop, and within SwitchTo() for calls that it ends. May call Call().
+  // Called from the event loop, and within SwitchTo() for calls that it ends. The callback may call Call().
   using OnReply = std::function<void(policy::CounterReply)>;
 
   CounterClient(asio::io_context& io, const tcp::endpoint& address, double timeout_s,
@@ -28,24 +30,24 @@
   CounterClient(const CounterClient&) = delete;
   CounterClient& operator=(const CounterClient&) = delete;
 
-  // Opens a first connection, so that the first call need not wait for it.
+  // Opens the first connection in advance, so that the first call does not have to wait for it.
   void Start();
 
-  // Adds `amount` to the number of `key`, which lives for `expiry_s` where it is new.
+  // Adds `amount` to the total of `key`. A new key expires after `expiry_s`.
   void Call(uint64_t key, double amount, double expiry_s);
 
-  // Further calls go to another address. Those in flight are still answered by the previous counter.
+  // Sends further calls to another address. Calls in flight are still answered by the previous counter.
   void SwitchTo(const tcp::endpoint& address);
 
  private:
   CounterConnection* PickConnection();
   CounterConnection* AddConnection();
   void EndCall(const std::shared_ptr<CounterCall>& call, policy::CallResult result, double total);
-  void ArmTimeouts();
-  void EndOverdueCalls();
+  void ArmTimer();
+  void EndExpiredCalls();
   bool HasUnreadReplies() const;
 
-  // CounterConnection::Owner.
+  // CounterConnection::Owner implementation.
   void OnConnected() override { backoff_ = {}; }
   void OnCallEnded(const std::shared_ptr<CounterCall>& call, policy::CallResult result,
                    double total) override {
@@ -58,8 +60,8 @@
   const Clock::duration timeout_, max_silence_, connect_timeout_;
   const OnReply on_reply_;
   std::vector<std::shared_ptr<CounterConnection>> connections_;
-  std::vector<std::shared_ptr<CounterConnection>> draining_;  // to an address before
-  std::deque<std::shared_ptr<CounterCall>> calls_;            // by deadline: every call has the same time-out
+  std::vector<std::shared_ptr<CounterConnection>> draining_;  // connections to previous addresses
+  std::deque<std::shared_ptr<CounterCall>> calls_;  // ordered by deadline, as all calls have the same timeout
   asio::steady_timer timer_;
   bool timer_armed_ = false;
   Clock::duration backoff_{};
--- a/src/net/counter_connection.cpp
+++ b/src/net/counter_connection.cpp
@@ -26,7 +26,8 @@
                         [self = shared_from_this(), this](error_code failed) { OnConnectEnded(failed); });
 }
 
-// A call whose time-out came first was reported as not added, so it must not go out any more.
+// Drops calls whose timeout expired before the connection was established. They were reported as not added,
+// so they must not be sent any more.
 void CounterConnection::OnConnectEnded(error_code error) {
   if (closed()) return;
   if (error) return Close(true);
@@ -37,13 +38,13 @@
   size_t kept = 0;
   for (size_t i = 0; i < calls_.size(); ++i) {
     if (calls_[i]->ended) continue;
-    unsent_ += queued_commands_[i];
+    unsent_commands_ += queued_commands_[i];
     calls_[kept++] = calls_[i];
   }
   calls_.resize(kept);
   queued_commands_.clear();
   last_bytes_at_ = Clock::now();
-  if (!calls_.empty()) AwaitBytes();
+  if (!calls_.empty()) ArmSilenceTimer();
   Write();
 }
 
@@ -52,9 +53,9 @@
   if (state_ == State::kConnecting) return queued_commands_.push_back(std::move(command));
   if (calls_.size() == 1) {
     last_bytes_at_ = Clock::now();
-    AwaitBytes();
+    ArmSilenceTimer();
   }
-  unsent_ += command;
+  unsent_commands_ += command;
   Write();
 }
 
@@ -70,7 +71,7 @@
   auto self = shared_from_this();  // the owner may drop the last other reference
   timer_.cancel();
   CloseSocket(socket_);
-  // An address that calls no longer go to needs no backoff.
+  // A draining connection causes no backoff, because calls no longer go to its address.
   owner_->OnConnectionClosed(this, unreachable && !was_draining);
   auto calls = std::move(calls_);
   calls_.clear();
@@ -83,13 +84,14 @@
   CloseSocket(socket_);
 }
 
-// Marks all calls as written before the write: until it has ended, any of them may have gone out complete,
-// and only a call that was not handed over yet is known not to have been added.
+// Writes the pending commands. All calls are marked as written before the write: until it has ended, any of
+// them may have been sent completely, and only a call that has not been passed to a write is known not to
+// have been added.
 void CounterConnection::Write() {
-  if (writing_ || unsent_.empty()) return;
+  if (writing_ || unsent_commands_.empty()) return;
   writing_ = true;
-  sending_.swap(unsent_);
-  unsent_.clear();
+  sending_.swap(unsent_commands_);
+  unsent_commands_.clear();
   for (auto& call : calls_) call->written = true;
   sent_bytes_ = 0;
   WriteAll(socket_, sending_, &sent_bytes_, [self = shared_from_this(), this](error_code error) {
@@ -105,13 +107,13 @@
                           [self = shared_from_this(), this](error_code error, size_t size) {
                             if (closed()) return;
                             if (error) return Close(false);
-                            OnBytes(size);
+                            OnReceived(size);
                           });
 }
 
-void CounterConnection::OnBytes(size_t size) {
+void CounterConnection::OnReceived(size_t size) {
   last_bytes_at_ = Clock::now();
-  if (!decoder_.Feed(read_buffer_, size) || !TakeReplies()) return Close(false);
+  if (!decoder_.Feed(read_buffer_, size) || !ProcessReplies()) return Close(false);
   if (closed()) return;
   if (decoder_.unused_bytes() > kMaxIncompleteReplyBytes) return Close(false);
   if (calls_.empty()) {
@@ -121,8 +123,9 @@
   Read();
 }
 
-// Ends a call for each complete reply; one of them may close the connection. False on garbage.
-bool CounterConnection::TakeReplies() {
+// Ends a call for each complete reply. Ending a call may close the connection. Returns false if the bytes are
+// not a valid reply or belong to no call.
+bool CounterConnection::ProcessReplies() {
   while (!closed()) {
     TallyReply reply;
     TallyReplyDecoder::Status status = decoder_.Next(&reply);
@@ -135,17 +138,18 @@
   return true;
 }
 
-// Guards against a counter whose machine has vanished or is cut off: no connection is closed by that, TCP
-// keep-alive does not notice it, and further calls would go on to a connection that never answers. The late
-// reply of a slow counter counts as a sign of life. One timer runs while calls are in flight; bytes only set
+// Arms the timer that closes the connection after `max_silence` without a byte. This guards against a counter
+// whose machine has failed or been disconnected: that closes no connection, TCP keep-alive does not detect
+// it, and further calls would be sent on a connection that never answers. The late reply of a slow counter
+// shows that it is still reachable. The timer runs while calls are in flight; received bytes only update
 // last_bytes_at_.
-void CounterConnection::AwaitBytes() {
+void CounterConnection::ArmSilenceTimer() {
   timer_.expires_at(last_bytes_at_ + options_.max_silence);
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
     if (cancelled || closed() || calls_.empty()) return;
     bool silent = Clock::now() >= last_bytes_at_ + options_.max_silence;
     if (silent && !HasUnreadReplies()) return Close(true);
-    AwaitBytes();
+    ArmSilenceTimer();
   });
 }
 
--- a/src/net/counter_connection.h
+++ b/src/net/counter_connection.h
@@ -1,4 +1,4 @@
-// One connection to the counter, with the calls that are in flight on it.
+// One connection to the counter and the calls that are in flight on it.
 #ifndef GATEWAY_NET_COUNTER_CONNECTION_H_
 #define GATEWAY_NET_COUNTER_CONNECTION_H_
 
@@ -15,34 +15,37 @@
 
 namespace gateway::net {
 
-// A call, shared by the client, which watches its time-out, and the connection, which awaits its reply. After
-// its time-out it stays on the connection, so that its late reply is not taken for the next call's.
+// A call to the counter. It is shared by the client, which enforces its timeout, and the connection, which
+// waits for its reply. After its timeout the call stays on the connection, so that its late reply is not
+// taken for the reply to the next call.
 struct CounterCall {
   uint64_t key = 0;
   Clock::time_point deadline{};
-  bool ended = false;    // its result was reported
-  bool written = false;  // to the socket, perhaps in part: the amount may have been added
+  bool ended = false;    // its result has been reported
+  bool written = false;  // it was written to the socket, perhaps in part; the amount may have been added
 
-  // The result where no reply has come.
+  // Returns the result of a call that gets no reply.
   policy::CallResult ResultWithoutReply() const {
     return written ? policy::CallResult::kTimeout : policy::CallResult::kConnectFailed;
   }
 };
 
-// Calls are pipelined, and their replies come in the order of the calls. Owned by a std::shared_ptr, which
-// pending operations share.
+// Pipelines calls; replies arrive in the order of the calls. A connection must be owned by a std::shared_ptr,
+// whose ownership its pending operations share.
 class CounterConnection : public std::enable_shared_from_this<CounterConnection> {
  public:
-  // The client. It outlives the connection or calls Detach().
+  // Receives the events of the connection; implemented by the client. It must outlive the connection or call
+  // Detach().
   class Owner {
    public:
     virtual void OnConnected() = 0;
-    // Called for each call of the connection, also for one that has ended by its time-out.
+    // Called for each call of the connection, including calls that have already ended by their timeout.
     virtual void OnCallEnded(const std::shared_ptr<CounterCall>& call, policy::CallResult result,
                              double total) = 0;
-    // The connection takes no further call; its calls end next. `unreachable`: nothing answers at the
-    // address. A counter that sent a malformed reply or reset a connection can be called on another one at
-    // once.
+    // Called when the connection closes. It accepts no further calls, and its remaining calls end after this
+    // function has returned. `unreachable` is true if nothing answers at the address. It is false if the
+    // counter sent a malformed reply or reset the connection, because it can be called on another connection
+    // immediately.
     virtual void OnConnectionClosed(CounterConnection* connection, bool unreachable) = 0;
 
    protected:
@@ -52,37 +55,38 @@
   struct Options {
     tcp::endpoint address;
     Clock::duration connect_timeout{};
-    // Without a byte while calls are in flight, until the connection is closed.
+    // The connection is closed after this time without a byte while calls are in flight.
     Clock::duration max_silence{};
   };
 
   CounterConnection(asio::io_context& io, const Options& options, Owner* owner);
 
-  // To be called once, before all else. Never calls the owner within this call.
+  // Must be called once, before any other function. Never calls the owner within this call.
   void Connect();
 
-  // Writes the call at once, or when the connection is up. Never calls the owner within this call.
+  // Writes the call immediately, or as soon as the connection is established. Never calls the owner within
+  // this call.
   void Add(std::shared_ptr<CounterCall> call, std::string command);
 
-  // Closes the connection when all calls in flight are answered, at once where it is not up or has none.
-  // Takes no further call.
+  // Closes the connection when all calls in flight are answered, or immediately if it is not established or
+  // has no calls in flight. No further call may be added.
   void Drain();
 
-  // Closes the connection and ends its calls. Closed already, it does nothing.
+  // Closes the connection and ends its calls. Does nothing if the connection is already closed.
   void Close(bool unreachable);
 
-  // Closes the connection without a callback, for the owner's destructor.
+  // Closes the connection without calling the owner. For use in the owner's destructor.
   void Detach();
 
   bool open() const { return state_ == State::kOpen; }
   bool closed() const { return state_ == State::kClosed; }
   size_t calls_in_flight() const { return calls_.size(); }
 
-  // Whether bytes of a reply have come that were not read yet.
+  // Returns whether bytes have been received but not yet read.
   bool HasUnreadReplies() { return state_ != State::kConnecting && !closed() && HasUnreadBytes(socket_); }
 
-  // Whether an open connection can take a call. An idle one may have been closed by the counter, which is
-  // noticed here before the event of it.
+  // Returns whether an open connection can accept a call. Detects that the counter has closed an idle
+  // connection even if the event loop has not yet handled that event.
   bool IsUsable() { return !calls_.empty() || !IsStale(socket_); }
 
  private:
@@ -91,27 +95,29 @@
   void OnConnectEnded(error_code error);
   void Write();
   void Read();
-  void OnBytes(size_t size);
-  bool TakeReplies();
-  void AwaitBytes();
+  void OnReceived(size_t size);
+  bool ProcessReplies();
+  void ArmSilenceTimer();
 
-  static constexpr size_t kReadBytes = 1024;
+  static constexpr size_t kReadBufferBytes = 1024;
 
   asio::io_context& io_;
   const Options options_;
   Owner* const owner_;
   State state_ = State::kConnecting;
   tcp::socket socket_;
-  asio::steady_timer timer_;                        // connect time-out, then silence
-  std::deque<std::shared_ptr<CounterCall>> calls_;  // without a reply so far, in their order
-  std::deque<std::string> queued_commands_;         // of calls_, while connecting
-  std::string unsent_;                              // commands behind the write that is under way
-  std::string sending_;
-  size_t sent_bytes_ = 0;  // of sending_
+  asio::steady_timer timer_;                        // connect timeout, then the silence limit
+  std::deque<std::shared_ptr<CounterCall>> calls_;  // calls without a reply, in the order they were added
+  std::deque<std::string> queued_commands_;         // commands of calls_ while connecting
+  std::string unsent_commands_;                     // commands to write after the current write
+  std::string sending_;                             // commands of the current write
+  size_t sent_bytes_ = 0;                           // part of sending_ that was handed to the kernel
   bool writing_ = false;
-  char read_buffer_[kReadBytes];
+  char read_buffer_[kReadBufferBytes];
   TallyReplyDecoder decoder_;
-  Clock::time_point last_bytes_at_{};  // or, where later, when the first call in flight was added
+  // When bytes were last received, or, if later, when a call was added to a connection that had none in
+  // flight.
+  Clock::time_point last_bytes_at_{};
 };
 
 }  // namespace gateway::net
--- a/src/net/resp2_codec.cpp
+++ b/src/net/resp2_codec.cpp
@@ -26,7 +26,8 @@
   out->append("$").append(std::to_string(text.size())).append("\r\n").append(text).append("\r\n");
 }
 
-// A bulk string with the total, or an error: -BUSY and -ERR say that nothing was added.
+// Parses a reply, which is a bulk string with the total or an error. The errors -BUSY and -ERR mean that
+// nothing was added. Returns false for any other reply.
 bool ParseReply(const redisReply& reply, TallyReply* parsed) {
   *parsed = TallyReply();
   if (reply.type == REDIS_REPLY_ERROR) return true;
--- a/src/net/socket_util.cpp
+++ b/src/net/socket_util.cpp
@@ -36,8 +36,8 @@
 }
 
 bool HasConnectEnded(tcp::socket& socket) {
-  pollfd end{socket.native_handle(), POLLOUT, 0};
-  return poll(&end, 1, 0) > 0;
+  pollfd descriptor{socket.native_handle(), POLLOUT, 0};
+  return poll(&descriptor, 1, 0) > 0;
 }
 
 }  // namespace gateway::net
--- a/src/net/socket_util.h
+++ b/src/net/socket_util.h
@@ -1,5 +1,5 @@
-// Non-blocking TCP sockets: opening and closing, looking at what has come without reading it, and a write
-// that always tells how much has reached the kernel.
+// Utilities for non-blocking TCP sockets. They open and close sockets, check for received bytes without
+// reading them, and write with a count of the bytes that have reached the kernel.
 #ifndef GATEWAY_NET_SOCKET_UTIL_H_
 #define GATEWAY_NET_SOCKET_UTIL_H_
 
@@ -14,38 +14,39 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-inline constexpr size_t kReadChunkBytes = 4096;  // bytes that one read asks for
+inline constexpr size_t kReadChunkBytes = 4096;  // maximum size of one read
 
 // Makes a connected or accepted socket non-blocking and turns off Nagle's algorithm. Returns the first error.
 error_code ConfigureSocket(tcp::socket& socket);
 
-// Opens an unconnected socket of the address's family and prepares it. Fails where descriptors or memory are
+// Opens and configures an unconnected socket of the address's family. Fails if file descriptors or memory are
 // exhausted.
 error_code OpenSocket(tcp::socket& socket, const tcp::endpoint& address);
 
-// Closes the socket at once, whatever is unread or unsent. Pending operations end with operation_aborted.
+// Closes the socket immediately, even if bytes are unread or unsent. Pending operations end with
+// operation_aborted.
 void CloseSocket(tcp::socket& socket);
 
-// Whether the peer of an idle connection has closed it, or has sent bytes that belong to no request. Does not
-// wait, and reads nothing.
+// Returns whether the peer of an idle connection has closed it or has sent bytes that belong to no request.
+// Does not block and consumes no bytes.
 bool IsStale(tcp::socket& socket);
 
-// Whether bytes have come that were not read yet. Does not wait, and reads nothing.
+// Returns whether bytes have been received but not yet read. Does not block and consumes no bytes.
 bool HasUnreadBytes(tcp::socket& socket);
 
-// Whether a connect that is under way has ended, in one way or the other. Does not wait.
+// Returns whether a pending connect has succeeded or failed. Does not block.
 bool HasConnectEnded(tcp::socket& socket);
 
-// The default of WriteAll's `still_wanted`.
+// The default for WriteAll's `still_wanted`.
 inline bool AlwaysWanted() { return true; }
 
-// Writes `text` from byte `*sent` on: at once what the socket takes, which is nearly always everything in one
-// system call, and the rest as the socket becomes writable.
+// Writes `text` from byte `*sent` on. It immediately writes what the socket accepts, which is nearly always
+// everything in one system call, and writes the rest when the socket becomes writable.
 //
-// `on_done(error)` runs exactly once, within this call or later. The caller keeps `socket`, `text` and `sent`
-// alive until then. `*sent` is advanced as bytes are handed to the kernel and never in a queued callback, so
-// that whoever ends the exchange knows at any moment how much has reached the wire. `still_wanted` is called
-// after each wait; if it returns false nothing more is written and the error is operation_aborted.
+// `on_done(error)` runs exactly once, within this call or later. The caller must keep `socket`, `text` and
+// `sent` alive until then. `*sent` is updated as bytes are handed to the kernel, never in a queued callback,
+// so that code that aborts the exchange knows at any time how many bytes may have been sent. `still_wanted`
+// is called after each wait; if it returns false, nothing more is written and the error is operation_aborted.
 template <typename DoneFn, typename Predicate = bool (*)()>
 void WriteAll(tcp::socket& socket, const std::string& text, size_t* sent, DoneFn on_done,
               Predicate still_wanted = &AlwaysWanted) {
