--- a/src/net/backend_connection_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -39,7 +39,7 @@
   // within this time closes the connection instead.
   static constexpr double kMinIdleBeforeReuseS = 0.01;
 
-  // `idle_s` is the time after which backends close an idle connection, and 0 if that time is not known.
+  // `idle_s` is the time after which backends close an idle connection, or 0 if that time is not known.
   // `drain_grace_s` is the time for which a draining backend still accepts new requests. `max_connections`
   // limits the connections to all backends together, whether idle, connecting or carrying an attempt.
   BackendConnectionPool(asio::io_context& io, double idle_s, double connect_timeout_s, double drain_grace_s,
@@ -49,7 +49,8 @@
   BackendConnectionPool(const BackendConnectionPool&) = delete;
   BackendConnectionPool& operator=(const BackendConnectionPool&) = delete;
 
-  // Adds the backend or changes its address. To be called when discovery lists the backend as ready.
+  // Adds the backend, changes its address or ends its drain. Must be called when discovery lists the backend
+  // as ready.
   void Update(uint32_t backend, const tcp::endpoint& address);
   // Marks the backend as draining. No request is sent to it once the drain grace has passed since
   // `notified_at`, the time at which the gateway counts as notified, which may be earlier than the time at
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -150,7 +150,7 @@
 
 // A response to a poll must be a full list, and a response to a watch must not have a lower index than the
 // last list. A lower index belongs to another numbering or to an outdated response; applied as a change, the
-// list could bring back a backend that is gone. Only a requested full list then tells the current state.
+// list could bring back a backend that is gone. Only a requested full list then gives the current state.
 bool DiscoveryClient::IsAcceptable(const EndpointList& list, bool is_watch) {
   if (!is_watch) return list.full;
   if (list.index >= *index_) return true;
--- a/src/net/discovery_client.h
+++ b/src/net/discovery_client.h
@@ -121,9 +121,9 @@
 
 // Polls one agent at a time. A failed exchange is repeated after a backoff, without a limit on the number of
 // attempts. An exchange that hangs counts as failed as soon as it is overdue, so that the next one starts in
-// time for a drain's grace. The overdue exchange stays open beside the next one, so that a late response of
-// the agent is still accepted. The first of the two to receive a list ends both. At most one overdue exchange
-// is kept.
+// time for a drain's grace. The overdue exchange stays open in parallel with the next one, so that a late
+// response of the agent is still accepted. The first of the two to receive a list ends both. At most one
+// overdue exchange is kept.
 class DiscoveryClient : private DiscoveryExchange::Owner {
  public:
   // Called when a list has been received; its `notified_at` is set. The next exchange has already started or
