--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -225,16 +225,16 @@
   std::signal(SIGINT, [](int) { soak_interrupted = true; });
   std::vector<soak::SoakResult> results;
   size_t breaks = 0;
-  soak::PlaySoaks(
+  soak::RunSoaks(
       command.options, [] { return soak_interrupted.load(); },
       [&](const soak::SoakResult& result) {
         std::printf("%s\n", soak::Summarize(result).c_str());
-        size_t described = std::min(result.breaks.size(), static_cast<size_t>(command.described_breaks));
+        size_t described = std::min(result.violations.size(), static_cast<size_t>(command.described_breaks));
         for (size_t i = 0; i < described; ++i) {
-          std::fputs(soak::DescribeBreak(command.options, result, result.breaks[i]).c_str(), stdout);
+          std::fputs(soak::DescribeViolation(command.options, result, result.violations[i]).c_str(), stdout);
         }
         std::fflush(stdout);
-        breaks += result.breaks.size();
+        breaks += result.violations.size();
         results.push_back(result);
       });
   std::printf("%zu of %d seeds played, %zu breaks\n", results.size(), command.options.seeds, breaks);
--- a/lab/soak/checks.cpp
+++ b/lab/soak/checks.cpp
@@ -34,7 +34,7 @@
     }
   }
 
-  std::vector<Break> Check() {
+  std::vector<Violation> Check() {
     for (const RequestRecord& request : history_.requests) CheckRequest(request);
     for (const AttemptRecord& attempt : history_.attempts) CheckAttempt(attempt);
     for (const auto& [id, attempts] : attempts_) CheckAttemptsOf(id, attempts);
@@ -43,13 +43,14 @@
       if (start.ready_s < 0) Add(Rule::kReady, start.started_s, "", GatewayText(start.gateway));
     }
     for (const EventRecord& leak : history_.leaks) Add(Rule::kDescriptors, leak.at_s, "", leak.text);
-    std::sort(breaks_.begin(), breaks_.end(), [](const Break& a, const Break& b) { return a.at_s < b.at_s; });
-    return breaks_;
+    std::sort(violations_.begin(), violations_.end(),
+              [](const Violation& a, const Violation& b) { return a.at_s < b.at_s; });
+    return violations_;
   }
 
  private:
   void Add(Rule rule, double at_s, const std::string& id, const std::string& text) {
-    breaks_.push_back({rule, at_s, id, text});
+    violations_.push_back({rule, at_s, id, text});
   }
 
   static std::string GatewayText(int gateway) { return "gateway " + std::to_string(gateway); }
@@ -215,7 +216,7 @@
   const HistoryData& history_;
   std::map<std::string, std::vector<const AttemptRecord*>> attempts_;  // by request, in the order of time
   std::map<std::string, std::vector<const RequestRecord*>> sendings_;  // by request
-  std::vector<Break> breaks_;
+  std::vector<Violation> violations_;
 };
 
 }  // namespace
@@ -238,7 +239,7 @@
   return "";
 }
 
-std::vector<Break> CheckHistory(const Deployment& deployment, const HistoryData& history) {
+std::vector<Violation> CheckHistory(const Deployment& deployment, const HistoryData& history) {
   return Checker(deployment, history).Check();
 }
 
--- a/lab/soak/checks.h
+++ b/lab/soak/checks.h
@@ -27,7 +27,7 @@
 
 const char* Name(Rule rule);
 
-struct Break {
+struct Violation {
   Rule rule = Rule::kAnswerInTime;
   double at_s = 0;
   std::string request_id;  // empty where the rule is not of a request
@@ -35,7 +35,7 @@
 };
 
 // All breaks, in the order of time. Time in which a gateway, or the soak itself, was held up is allowed for.
-std::vector<Break> CheckHistory(const Deployment& deployment, const HistoryData& history);
+std::vector<Violation> CheckHistory(const Deployment& deployment, const HistoryData& history);
 
 }  // namespace gateway::lab::soak
 
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -86,7 +86,7 @@
     CheckDescriptors();
     EndGateways();
     SoakResult result{seed_, deployment_, history_.Take(), {}};
-    result.breaks = CheckHistory(deployment_, result.history);
+    result.violations = CheckHistory(deployment_, result.history);
     return result;
   }
 
@@ -230,17 +230,17 @@
 
 }  // namespace
 
-SoakResult PlaySoak(const SoakOptions& options, uint64_t seed) { return Play(options, seed).Run(); }
+SoakResult RunSoak(const SoakOptions& options, uint64_t seed) { return Play(options, seed).Run(); }
 
-void PlaySoaks(const SoakOptions& options, const std::function<bool()>& stopped,
-               const std::function<void(const SoakResult&)>& on_result) {
+void RunSoaks(const SoakOptions& options, const std::function<bool()>& stopped,
+              const std::function<void(const SoakResult&)>& on_result) {
   std::atomic<int> next{0};
   std::mutex result_mutex;
   std::list<std::thread> workers;
   for (int i = 0; i < std::min(options.jobs, options.seeds); ++i) {
     workers.emplace_back([&] {
       for (int seed = next++; seed < options.seeds && !stopped(); seed = next++) {
-        SoakResult result = PlaySoak(options, options.first_seed + static_cast<uint64_t>(seed));
+        SoakResult result = RunSoak(options, options.first_seed + static_cast<uint64_t>(seed));
         std::lock_guard lock(result_mutex);
         on_result(result);
       }
--- a/lab/soak/soak.h
+++ b/lab/soak/soak.h
@@ -26,22 +26,23 @@
   uint64_t seed = 0;
   Deployment deployment;
   HistoryData history;
-  std::vector<Break> breaks;
+  std::vector<Violation> violations;
 };
 
 // Plays one seed. The schedule is the same each time; what real sockets and threads add is not. Throws
 // std::runtime_error where the machine has no port or file left.
-SoakResult PlaySoak(const SoakOptions& options, uint64_t seed);
+SoakResult RunSoak(const SoakOptions& options, uint64_t seed);
 
 // Plays the seeds, `jobs` at a time, until all are played or `stopped` says so. `on_result` is called for
 // each as it ends, from one thread at a time.
-void PlaySoaks(const SoakOptions& options, const std::function<bool()>& stopped,
-               const std::function<void(const SoakResult&)>& on_result);
+void RunSoaks(const SoakOptions& options, const std::function<bool()>& stopped,
+              const std::function<void(const SoakResult&)>& on_result);
 
 // One line on what was played.
 std::string Summarize(const SoakResult& result);
 // A break with the history of its request, the events around it, and the command that plays its seed again.
-std::string DescribeBreak(const SoakOptions& options, const SoakResult& result, const Break& broken);
+std::string DescribeViolation(const SoakOptions& options, const SoakResult& result,
+                              const Violation& violation);
 // Both of these for scripts, as JSON.
 std::string ToJson(const std::vector<SoakResult>& results);
 
--- a/lab/soak/soak_report.cpp
+++ b/lab/soak/soak_report.cpp
@@ -106,16 +106,17 @@
       << " requests, " << history.attempts.size() << " attempts, " << history.events.size() << " events, "
       << history.exits.size() << " ends of a process;";
   for (const auto& [name, count] : CountEnds(history)) out << ' ' << name << '=' << count;
-  out << "; breaks " << result.breaks.size();
+  out << "; breaks " << result.violations.size();
   return out.str();
 }
 
-std::string DescribeBreak(const SoakOptions& options, const SoakResult& result, const Break& broken) {
+std::string DescribeViolation(const SoakOptions& options, const SoakResult& result,
+                              const Violation& violation) {
   std::ostringstream out;
-  out << "  " << Name(broken.rule) << Line(" at %.3f s: ", broken.at_s) << broken.text << " (request "
-      << broken.request_id << ")\n";
-  if (!broken.request_id.empty()) AppendRequest(result.history, broken.request_id, &out);
-  AppendEvents(result.history, broken.at_s, &out);
+  out << "  " << Name(violation.rule) << Line(" at %.3f s: ", violation.at_s) << violation.text
+      << " (request " << violation.request_id << ")\n";
+  if (!violation.request_id.empty()) AppendRequest(result.history, violation.request_id, &out);
+  AppendEvents(result.history, violation.at_s, &out);
   out << "    again: gateway-lab soak --seeds " << result.seed << " --seconds " << options.duration_s << '\n';
   return out.str();
 }
@@ -123,19 +124,19 @@
 std::string ToJson(const std::vector<SoakResult>& results) {
   json report = json::array();
   for (const SoakResult& result : results) {
-    json breaks = json::array();
-    for (const Break& broken : result.breaks) {
-      breaks.push_back({{"rule", Name(broken.rule)},
-                        {"at_s", broken.at_s},
-                        {"request_id", broken.request_id},
-                        {"text", broken.text}});
+    json violations = json::array();
+    for (const Violation& violation : result.violations) {
+      violations.push_back({{"rule", Name(violation.rule)},
+                            {"at_s", violation.at_s},
+                            {"request_id", violation.request_id},
+                            {"text", violation.text}});
     }
     report.push_back({{"seed", result.seed},
                       {"deployment", DeploymentJson(result.deployment)},
                       {"ends", CountEnds(result.history)},
                       {"attempts", result.history.attempts.size()},
                       {"events", result.history.events.size()},
-                      {"breaks", breaks}});
+                      {"breaks", violations}});
   }
   return report.dump(2) + "\n";
 }
--- a/tests/lab/soak_checks_test.cpp
+++ b/tests/lab/soak_checks_test.cpp
@@ -38,7 +38,7 @@
 
 std::vector<Rule> BrokenRules(const HistoryData& history) {
   std::vector<Rule> rules;
-  for (const Break& broken : CheckHistory(MakeDeployment(), history)) rules.push_back(broken.rule);
+  for (const Violation& violation : CheckHistory(MakeDeployment(), history)) rules.push_back(violation.rule);
   return rules;
 }
 
