--- a/src/config/address_parser.h
+++ b/src/config/address_parser.h
@@ -1,4 +1,4 @@
-// Addresses in their textual form.
+// Parsing of socket addresses.
 #ifndef GATEWAY_CONFIG_ADDRESS_PARSER_H_
 #define GATEWAY_CONFIG_ADDRESS_PARSER_H_
 
@@ -7,8 +7,8 @@
 
 namespace gateway::config {
 
-// An IP address and a port, as in "10.0.0.4:5000" and "[::1]:5000". Throws ConfigError with the key `path` on
-// anything else.
+// Parses an IP address and a port, as in "10.0.0.4:5000" or "[::1]:5000". Throws ConfigError with the key
+// `path` if `text` has any other form.
 boost::asio::ip::tcp::endpoint ParseAddress(const std::string& path, const std::string& text);
 
 }  // namespace gateway::config
--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,4 +1,4 @@
-// The error of everything that reads a configuration.
+// The exception that all configuration parsers throw.
 #ifndef GATEWAY_CONFIG_CONFIG_ERROR_H_
 #define GATEWAY_CONFIG_CONFIG_ERROR_H_
 
@@ -8,10 +8,10 @@
 
 namespace gateway::config {
 
-// What is wrong with a configuration, and at which key. what() is a complete message in one line.
+// Names the invalid configuration key and the reason. what() is a complete one-line message.
 class ConfigError : public std::runtime_error {
  public:
-  // `path`: the key at fault, as in "limits.sockets"; empty where the file as a whole is.
+  // `path` is the invalid key, for example "limits.sockets". It is empty if the file as a whole is invalid.
   ConfigError(std::string path, const std::string& message)
       : std::runtime_error(message), path_(std::move(path)) {}
 
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -45,7 +45,7 @@
   return seed;
 }
 
-// Leaves the default where there is no such key.
+// Keeps the default in `*limit` if the key is absent.
 void ParseLimit(const json& limits, const char* key, int min, int* limit) {
   auto it = limits.find(key);
   if (it == limits.end()) return;
@@ -103,14 +103,14 @@
   std::ifstream file(file_name);
   std::stringstream text;
   if (!file || !(text << file.rdbuf())) {
-    throw ConfigError("", "cannot read the configuration " + file_name);
+    throw ConfigError("", "cannot read the configuration file " + file_name);
   }
   return ParseGatewayConfig(text.str());
 }
 
 void CheckSameGateway(const GatewayConfig& current, const GatewayConfig& fresh) {
   auto check = [](bool same, const char* path) {
-    if (!same) throw ConfigError(path, std::string("the configuration is another gateway's: ") + path);
+    if (!same) throw ConfigError(path, std::string("the configuration belongs to another gateway: ") + path);
   };
   check(fresh.name == current.name, "name");
   check(fresh.listen_address == current.listen_address, "listen");
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -1,4 +1,4 @@
-// A gateway's configuration file.
+// The configuration file of a gateway.
 #ifndef GATEWAY_CONFIG_GATEWAY_CONFIG_H_
 #define GATEWAY_CONFIG_GATEWAY_CONFIG_H_
 
@@ -19,11 +19,12 @@
   std::string name;
   boost::asio::ip::tcp::endpoint listen_address;
   boost::asio::ip::tcp::endpoint discovery_address;
-  std::optional<boost::asio::ip::tcp::endpoint> counter_address;  // present if the policy uses the counter
-  uint64_t seed = 0;                                              // of the policy's random draws
+  // Always set if the settings enable the counter.
+  std::optional<boost::asio::ip::tcp::endpoint> counter_address;
+  uint64_t seed = 0;  // seed of the policy's random numbers
   int max_sockets = 1024;
   int max_memory_mb = 192;
-  // As last known, in discovery's JSON form and not parsed; null where there is none.
+  // The last known endpoint list as unparsed JSON in the format of discovery. Null if there is none.
   nlohmann::json cached_endpoint_list;
   policy::Settings settings;
   DeploymentSettings deployment;
@@ -32,15 +33,15 @@
 // Throws ConfigError on the first key that is missing or unreadable.
 GatewayConfig ParseGatewayConfig(const std::string& text);
 
-// The same from a file. Throws ConfigError also where the file cannot be read.
+// Reads and parses a configuration file. Throws ConfigError also if the file cannot be read.
 GatewayConfig LoadGatewayConfig(const std::string& file_name);
 
-// Whether a running gateway can go on with `fresh`. Throws ConfigError where its name, address, request
-// classes or plans differ from those of `current`: then it is another gateway's configuration, put there by
-// mistake.
+// Checks that a running gateway may load `fresh`. Throws ConfigError if the name, the listen address, the
+// request classes or the plans differ from those of `current`: the file is then the configuration of another
+// gateway that was installed by mistake.
 void CheckSameGateway(const GatewayConfig& current, const GatewayConfig& fresh);
 
-// The keys whose values differ and which a running gateway does not take from `fresh`: they need a restart.
+// Returns the top-level keys whose values differ and take effect only after a restart.
 std::vector<std::string> KeysThatNeedARestart(const GatewayConfig& current, const GatewayConfig& fresh);
 
 }  // namespace gateway::config
--- a/src/config/json_flattener.cpp
+++ b/src/config/json_flattener.cpp
@@ -25,7 +25,8 @@
   }
 }
 
-// An empty list may be of either kind, so it gives both its length and its empty value.
+// An empty array may be a list of objects or a list of plain values, so both its length and an empty value
+// are written.
 void FlattenArray(const std::string& path, const json& array, std::string* flat) {
   bool of_objects = !array.empty() && array.front().is_object();
   if (of_objects || array.empty()) AppendLine(ChildPath(path, "count"), std::to_string(array.size()), flat);
--- a/src/config/json_flattener.h
+++ b/src/config/json_flattener.h
@@ -1,4 +1,5 @@
-// Brings settings from their JSON form, as in a configuration file, to the flat form that is parsed.
+// Converts settings from the JSON form of a configuration file to the flat form that the settings parser
+// reads.
 #ifndef GATEWAY_CONFIG_JSON_FLATTENER_H_
 #define GATEWAY_CONFIG_JSON_FLATTENER_H_
 
@@ -10,15 +11,16 @@
 
 namespace gateway::config {
 
-// Lines of path=value, as SettingsText reads them. A list of objects gives its length under ".count" and its
-// items under ".0", ".1" and so on; a list of plain values gives one value, joined by commas.
+// Returns lines of path=value, the format that SettingsText reads. A list of objects becomes its length at
+// ".count" and its items at ".0", ".1" and so on. A list of plain values becomes a single value, joined by
+// commas.
 std::string FlattenSettings(const nlohmann::json& settings);
 
-// A name as it stands in the flat form, where spaces, commas and line ends become '_'. Names from elsewhere
-// are compared with those of the settings in this form.
+// Converts a name to its spelling in the flat form, in which spaces, commas and line breaks are replaced by
+// '_'. A name from another source has to be converted before it is compared with a name of the settings.
 std::string NormalizeName(std::string_view name);
 
-// Index of a name among those of the settings; none where it is not there.
+// Returns the index in `names`, which are normalized, of the normalized `name`; nullopt if it is not there.
 std::optional<int> FindName(const std::vector<std::string>& names, std::string_view name);
 
 }  // namespace gateway::config
--- a/src/config/settings_parser.cpp
+++ b/src/config/settings_parser.cpp
@@ -11,8 +11,8 @@
 constexpr char kClassesPath[] = "request-classes";
 constexpr char kPlansPath[] = "tiers-of-service";
 
-// Part of the settings' form and read by no code here. They are checked all the same, each at its place among
-// the others, so that settings cut off or damaged on the way are rejected at the first bad key.
+// Keys that belong to the settings format but have no effect here. They are validated nevertheless, in the
+// order of the format, so that truncated or corrupted settings are rejected at the first invalid key.
 constexpr char kUnusedGatewayIndexKey[] = "me";
 constexpr char kUnusedCrossZonePriceKey[] = "prices.cross-zone";
 constexpr char kUnusedOverloadDurationKey[] = "invariants.tip-after-s";
@@ -89,10 +89,10 @@
   return parsed;
 }
 
-// A list of objects has its length under ".count", and its items under ".0", ".1" and so on.
+// Returns the key of a list's length. The items of a list are at ".0", ".1" and so on.
 std::string CountPath(const std::string& list_path) { return list_path + ".count"; }
 
-// Nothing is reserved for the count, which may be absurd: the first missing name ends it.
+// Does not reserve memory for the count, which may be absurdly large: the first missing name throws.
 void ParseNames(const SettingsText& text, const std::string& list_path, std::vector<std::string>* names) {
   int count = text.Integer(CountPath(list_path));
   for (int i = 0; i < count; ++i) names->push_back(text.String(ItemPath(list_path, i) + "name"));
--- a/src/config/settings_parser.h
+++ b/src/config/settings_parser.h
@@ -1,5 +1,5 @@
-// Maps the settings' keys to the code's terms. The only place that knows the keys; their meaning is on the
-// fields that they are read into.
+// Maps the keys of the settings to fields. Only this module knows the keys; their meaning is documented at
+// the fields that they set.
 #ifndef GATEWAY_CONFIG_SETTINGS_PARSER_H_
 #define GATEWAY_CONFIG_SETTINGS_PARSER_H_
 
@@ -11,24 +11,26 @@
 
 namespace gateway::config {
 
-// The policy's settings, from lines of path=value. Unknown keys are ignored. Throws ConfigError with the path
-// of the first key that is missing or unreadable.
+// Parses the policy's settings from lines of path=value. Unknown keys are ignored. Throws ConfigError with
+// the first key that is missing or has an invalid value.
 policy::Settings ParseSettings(std::string_view text);
 
-// What the network code needs of the settings and the policy does not.
+// The settings that the network code needs and the policy does not.
 struct DeploymentSettings {
   bool operator==(const DeploymentSettings&) const = default;
 
   std::vector<std::string> class_names;     // in the order of policy::Settings::classes
   std::vector<std::string> plan_names;      // in the order of policy::Settings::plans
-  std::vector<std::string> zone_names;      // a zone's number is its index here
-  std::vector<std::string> endpoint_kinds;  // a kind's number is its index here
-  double connection_idle_s = 0;             // after which a backend closes an idle connection; 0: not known
+  std::vector<std::string> zone_names;      // the number of a zone is its index here
+  std::vector<std::string> endpoint_kinds;  // the number of a kind is its index here
+  // Idle time after which a backend closes a connection; 0 if unknown.
+  double connection_idle_s = 0;
   double connect_timeout_s = 0;
-  double drain_grace_s = 0;  // in which a draining backend still takes requests, from the notification on
+  // How long a draining backend still accepts requests, counted from the discovery notification.
+  double drain_grace_s = 0;
 };
 
-// The same text and errors as of ParseSettings().
+// Parses the same text as ParseSettings(), and throws in the same cases.
 DeploymentSettings ParseDeploymentSettings(std::string_view text);
 
 }  // namespace gateway::config
--- a/src/config/settings_text.cpp
+++ b/src/config/settings_text.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMaxNumber = 1e9;
 
-// Takes the first line off the text.
+// Removes the first line from `*text` and returns it without its line end.
 std::string_view TakeLine(std::string_view* text) {
   size_t end = text->find('\n');
   std::string_view line = text->substr(0, end);
@@ -27,7 +27,7 @@
     if (line.empty()) continue;
     size_t equals = line.find('=');
     if (equals == std::string_view::npos) {
-      throw ConfigError(std::string(line), "setting without '=': " + std::string(line));
+      throw ConfigError(std::string(line), "settings line has no '=': " + std::string(line));
     }
     values_[std::string(line.substr(0, equals))] = std::string(line.substr(equals + 1));
   }
--- a/src/config/settings_text.h
+++ b/src/config/settings_text.h
@@ -1,4 +1,4 @@
-// The flat form of the settings: one path=value pair a line.
+// Access to the flat form of the settings, which has one path=value pair per line.
 #ifndef GATEWAY_CONFIG_SETTINGS_TEXT_H_
 #define GATEWAY_CONFIG_SETTINGS_TEXT_H_
 
@@ -13,26 +13,27 @@
 
 namespace gateway::config {
 
-// Typed access to the values by their paths. Where a path is given more than once, the last one counts. Each
-// accessor throws ConfigError, with the path, where the value is missing or unreadable.
+// Provides typed access to the values by path. If a path occurs more than once, the last value counts. Each
+// accessor throws ConfigError with the path if the value is missing or invalid.
 class SettingsText {
  public:
-  // Throws ConfigError on a line that is no pair.
+  // Throws ConfigError if a line that is not empty contains no '='.
   explicit SettingsText(std::string_view text);
 
   const std::string& String(const std::string& path) const;
 
-  // Neither negative nor above 1e9: a clock in nanoseconds and an int hold every number.
+  // Accepts values from 0 to 1e9, so that each fits into an int and, taken as seconds, into a clock in
+  // nanoseconds.
   double Number(const std::string& path) const;
   double PositiveNumber(const std::string& path) const;
   int Integer(const std::string& path) const;
 
   bool Bool(const std::string& path) const;
 
-  // The items between commas, without an empty one at the end.
+  // Splits the value at commas. A trailing comma does not add an empty item.
   std::vector<std::string> Strings(const std::string& path) const;
 
-  // The value that one of the words stands for.
+  // Returns the value that `choices` assigns to the word at `path`.
   template <typename T>
   T Choice(const std::string& path, std::initializer_list<std::pair<const char*, T>> choices) const {
     const std::string& word = String(path);
