--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -91,7 +91,8 @@
   static const std::vector<policy::Endpoint> kNoEndpoints;
   if (update.kind == policy::EndpointUpdateKind::kFailed) return kNoEndpoints;
   if (update.table >= kEndpointTableCount || !tables_[update.table].has_value()) {
-    throw FrameError("view names table " + std::to_string(update.table) + ", which was never sent");
+    throw FrameError("endpoint update refers to table " + std::to_string(update.table) +
+                     ", which was never sent");
   }
   return *tables_[update.table];
 }
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -1,4 +1,4 @@
-// Hosts the decision modules of many gateways behind the simulator's wire.
+// Connects the admission policies of many simulated gateways to the simulator's wire protocol.
 #ifndef GATEWAY_SIMULATOR_ADAPTER_H_
 #define GATEWAY_SIMULATOR_ADAPTER_H_
 
@@ -20,13 +20,15 @@
 
 namespace gateway::simulator {
 
-// One policy::AdmissionPolicy for each instance; they share nothing but the endpoint tables, which are the
-// process's. Deterministic: its only clock is that of the batches. Not thread-safe.
+// Runs one policy::AdmissionPolicy for each instance. The instances share only the endpoint tables, which
+// belong to the process. The adapter is deterministic, since its only clock is the time in the batches. Not
+// thread-safe.
 class Adapter {
  public:
-  // Plays the events of one batch in order, and returns the reply frame with the actions, valid until the
-  // next call. Throws FrameError and config::ConfigError on input that does not follow the protocol; any
-  // other exception is an instance's failure and goes into the reply, in place of the actions for that event.
+  // Processes the events of one batch in order and returns the reply frame with the resulting actions. The
+  // frame is valid until the next call. Throws FrameError or config::ConfigError if the input violates the
+  // protocol. Any other exception is a failure of the instance; it is reported in the reply in place of the
+  // actions for that event.
   const std::string& HandleBatch(std::string_view frame);
 
  private:
@@ -44,14 +46,15 @@
   void Handle(uint32_t instance, const IgnoredEvent& ignored);
   void Handle(uint32_t instance, const policy::CounterReply& reply);
 
-  // Null for an instance that has not started, or has stopped: events may still come for it, and are ignored.
+  // Returns null for an instance that has not started or has stopped. Events for such an instance may still
+  // arrive and are ignored.
   policy::AdmissionPolicy* FindPolicy(uint32_t instance);
   const std::vector<policy::Endpoint>& FindEndpoints(const EndpointUpdate& update) const;
 
   std::array<std::optional<std::vector<policy::Endpoint>>, kEndpointTableCount> tables_;
   std::map<uint32_t, std::unique_ptr<policy::AdmissionPolicy>> policies_;  // by instance
-  double now_s_ = 0;                                                       // of the batch being played
-  policy::Actions actions_;                                                // of the event being played
+  double now_s_ = 0;                                                       // time of the current batch
+  policy::Actions actions_;                                                // actions for the current event
   FrameWriter reply_;
 };
 
--- a/src/simulator/events.h
+++ b/src/simulator/events.h
@@ -1,5 +1,5 @@
-// The events of the simulator, as a batch carries them. What the decision module takes as it is keeps the
-// type of policy/events.h.
+// The events in a batch from the simulator. Events that the policy accepts unchanged have the types of
+// policy/events.h.
 #ifndef GATEWAY_SIMULATOR_EVENTS_H_
 #define GATEWAY_SIMULATOR_EVENTS_H_
 
@@ -12,29 +12,29 @@
 
 namespace gateway::simulator {
 
-// A gateway starts. Its instance number may have been that of one that stopped.
+// A gateway started. Its instance number may be reused from a gateway that stopped.
 struct InstanceStarted {
-  uint64_t seed = 0;     // of its random numbers
-  std::string settings;  // as config::ParseSettings reads them
+  uint64_t seed = 0;     // seed of the policy's random numbers
+  std::string settings;  // in the format of config::ParseSettings()
 };
 
-// A gateway died, and everything it knew with it.
+// A gateway stopped and lost all its state.
 struct InstanceStopped {};
 
-// A list of endpoints for the EndpointUpdates that follow, of any instance. It replaces the table of the same
-// number, also within one batch.
+// A list of endpoints to which later EndpointUpdates of any instance refer by its number. It replaces the
+// table with the same number, also within one batch.
 struct EndpointTable {
   int table = 0;  // below kEndpointTableCount
   std::vector<policy::Endpoint> endpoints;
 };
 
-// Discovery notified an instance.
+// Discovery notified an instance of the endpoints in a table.
 struct EndpointUpdate {
   policy::EndpointUpdateKind kind = policy::EndpointUpdateKind::kFull;
-  int table = 0;  // of no meaning for kFailed
+  int table = 0;  // unused for kFailed
 };
 
-// The first bytes of an answer went to the client.
+// The first bytes of the response were sent to the client.
 struct ResponseStarted {
   uint32_t request_id = 0;
 };
@@ -44,10 +44,11 @@
 };
 
 struct TimerFired {
-  uint64_t tag = 0;  // of the policy::StartTimer
+  uint64_t tag = 0;  // the tag of the policy::StartTimer action
 };
 
-// A health check's result or another gateway's message. Its form is checked; the policy uses neither.
+// The result of a health check or a message from another gateway. The policy uses neither, but their format
+// is validated.
 struct IgnoredEvent {};
 
 struct Event {
@@ -55,11 +56,11 @@
                             ResponseStarted, policy::AttemptOutcome, ClientGone, TimerFired, IgnoredEvent,
                             policy::CounterReply>;
 
-  uint32_t instance = 0;  // of no meaning for an EndpointTable
+  uint32_t instance = 0;  // unused for an EndpointTable
   Body body;
 };
 
-// Events that happen at the same time, in order.
+// Events that happen at the same time, in the order in which they are processed.
 struct EventBatch {
   double now_s = 0;
   std::vector<Event> events;
--- a/src/simulator/frame_error.h
+++ b/src/simulator/frame_error.h
@@ -5,8 +5,8 @@
 
 namespace gateway::simulator {
 
-// A frame, or the stream of frames, that does not follow the simulator's protocol, or that cannot be written.
-// what() is a complete message.
+// Thrown if a frame or the stream of frames violates the simulator's protocol, or if a frame cannot be
+// written. what() is a complete message.
 class FrameError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -11,11 +11,11 @@
 namespace gateway::simulator {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "fields are copied as they stand on the wire");
+static_assert(std::endian::native == std::endian::little,
+              "fields are copied unchanged, and the wire is little-endian");
 static_assert(sizeof(float) == 4 && sizeof(double) == 8);
 
-// Takes fields off the front of a frame, one after another. `field` names what a frame that ends too early
-// ends inside of.
+// Reads the fields of a frame in order. `field` names the field in the error for a truncated frame.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view bytes) : rest_(bytes) {}
@@ -59,7 +59,7 @@
     case EndpointMode::kRemoved: return policy::EndpointState::kRemoved;
     case EndpointMode::kReady: return policy::EndpointState::kReady;
     case EndpointMode::kDraining: return policy::EndpointState::kDraining;
-    default: throw FrameError("unknown backend mode " + std::to_string(mode));
+    default: throw FrameError("unknown endpoint mode " + std::to_string(mode));
   }
 }
 
@@ -94,9 +94,10 @@
   EndpointTable table;
   table.table = in->Read<uint8_t>("table number");
   if (table.table >= kEndpointTableCount)
-    throw FrameError("table number " + std::to_string(table.table) + " is above 15");
+    throw FrameError("table number " + std::to_string(table.table) + " is above the maximum of 15");
   auto count = in->Read<uint32_t>("table length");
-  if (count > in->left() / kEndpointBytes) throw FrameError("table holds fewer entries than it says");
+  if (count > in->left() / kEndpointBytes)
+    throw FrameError("table holds fewer entries than its length field says");
   table.endpoints.reserve(count);
   for (uint32_t i = 0; i < count; ++i) table.endpoints.push_back(ReadEndpoint(in));
   return table;
@@ -214,12 +215,13 @@
 EventBatch ParseBatch(std::string_view frame) {
   FieldReader in(frame);
   auto size = in.Read<uint32_t>("frame length");
-  if (size != frame.size()) throw FrameError("frame length does not match its bytes");
+  if (size != frame.size()) throw FrameError("frame length does not match the size of the frame");
   EventBatch batch;
   batch.now_s = in.Read<double>("clock");
-  if (!std::isfinite(batch.now_s)) throw FrameError("clock is not a number");
+  if (!std::isfinite(batch.now_s)) throw FrameError("clock is not a finite number");
   auto records = in.Read<uint32_t>("record count");
-  if (records > in.left() / kMinRecordBytes) throw FrameError("frame holds fewer records than it says");
+  if (records > in.left() / kMinRecordBytes)
+    throw FrameError("frame holds fewer records than its header says");
   batch.events.reserve(records);
   for (uint32_t i = 0; i < records; ++i) batch.events.push_back(ReadEvent(&in));
   if (in.left() != 0) throw FrameError("frame has bytes after its last record");
--- a/src/simulator/frame_reader.h
+++ b/src/simulator/frame_reader.h
@@ -1,4 +1,4 @@
-// Frames from the simulator: bytes in, typed events out.
+// Parses frames from the simulator into typed events.
 #ifndef GATEWAY_SIMULATOR_FRAME_READER_H_
 #define GATEWAY_SIMULATOR_FRAME_READER_H_
 
@@ -9,8 +9,8 @@
 
 namespace gateway::simulator {
 
-// Parses one complete frame, its length field included. Throws FrameError on a frame that does not follow
-// WIRE 3 to 8; nothing is taken from such a frame.
+// Parses one complete frame, including its length field. Throws FrameError if the frame violates WIRE 3 to 8;
+// no event of such a frame is returned.
 EventBatch ParseBatch(std::string_view frame);
 
 }  // namespace gateway::simulator
--- a/src/simulator/frame_stream.cpp
+++ b/src/simulator/frame_stream.cpp
@@ -15,7 +15,7 @@
   uint32_t size;
   std::memcpy(&size, frame_.data(), sizeof(size));
   if (size < kBatchHeaderBytes)
-    throw FrameError("frame length " + std::to_string(size) + " is below its header");
+    throw FrameError("frame length " + std::to_string(size) + " is smaller than the batch header");
   if (size > kMaxFrameBytes) throw FrameError("frame length " + std::to_string(size) + " is too large");
   frame_.resize(size);
   size_t rest = size - kFrameLengthBytes;
@@ -26,7 +26,7 @@
 
 void FrameStream::Write(std::string_view frame) {
   bool written = std::fwrite(frame.data(), 1, frame.size(), out_) == frame.size();
-  if (!written || std::fflush(out_) != 0) throw FrameError("cannot write the reply");
+  if (!written || std::fflush(out_) != 0) throw FrameError("cannot write the reply frame");
 }
 
 }  // namespace gateway::simulator
--- a/src/simulator/frame_stream.h
+++ b/src/simulator/frame_stream.h
@@ -1,4 +1,4 @@
-// Moves whole frames over the adapter's standard input and output.
+// Reads and writes complete frames on the adapter's standard input and output.
 #ifndef GATEWAY_SIMULATOR_FRAME_STREAM_H_
 #define GATEWAY_SIMULATOR_FRAME_STREAM_H_
 
@@ -11,15 +11,16 @@
 
 namespace gateway::simulator {
 
-// Blocking. The files stay the caller's, and have to live longer.
+// Reads and writes with blocking calls. The caller owns the files, which have to outlive the stream.
 class FrameStream {
  public:
   FrameStream(std::FILE* in, std::FILE* out) : in_(in), out_(out) {}
 
-  // The next frame, its length field included, valid until the next call; nothing where the input ended
-  // between two frames. Throws FrameError on an impossible length and on an end inside a frame.
+  // Returns the next frame, including its length field; it is valid until the next call. Returns nullopt if
+  // the input ended between two frames. Throws FrameError if the length is out of range or the input ends
+  // inside a frame.
   std::optional<std::string_view> Read();
-  // Writes and flushes a frame. Throws FrameError where that fails.
+  // Writes and flushes a frame. Throws FrameError if that fails.
   void Write(std::string_view frame);
 
  private:
--- a/src/simulator/frame_writer.cpp
+++ b/src/simulator/frame_writer.cpp
@@ -9,7 +9,8 @@
 namespace gateway::simulator {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "fields are copied as they stand on the wire");
+static_assert(std::endian::native == std::endian::little,
+              "fields are copied unchanged, and the wire is little-endian");
 
 template <typename T>
 void Put(std::string* out, T value) {
@@ -30,7 +31,7 @@
   out->append(text);
 }
 
-// One overload for each alternative of policy::Action.
+// Writes an action record. It has one overload for each alternative of policy::Action.
 class ActionWriter {
  public:
   ActionWriter(std::string* out, uint32_t instance) : out_(out), instance_(instance) {}
@@ -68,7 +69,7 @@
   }
   void operator()(const policy::PollDiscovery&) const {
     PutHeader(out_, ActionCode::kPollDiscovery, instance_);
-    Put<uint8_t>(out_, 1);  // enabled, as against ending the subscription
+    Put<uint8_t>(out_, 1);  // enables the subscription rather than ending it
   }
   void operator()(const policy::LogEvent& action) const {
     PutText(out_, ActionCode::kLogEvent, instance_, action.text);
--- a/src/simulator/frame_writer.h
+++ b/src/simulator/frame_writer.h
@@ -1,4 +1,4 @@
-// Frames to the simulator: typed actions in, bytes out.
+// Serializes typed actions into frames for the simulator.
 #ifndef GATEWAY_SIMULATOR_FRAME_WRITER_H_
 #define GATEWAY_SIMULATOR_FRAME_WRITER_H_
 
@@ -10,16 +10,17 @@
 
 namespace gateway::simulator {
 
-// Builds one reply frame after another, actions in the order in which they are appended (WIRE 9).
+// Builds reply frames (WIRE 9), one at a time. A frame holds the actions in the order in which they were
+// appended. Texts are truncated to kMaxTextBytes.
 class FrameWriter {
  public:
   FrameWriter();
   void Append(uint32_t instance, const policy::Action& action);
-  // Reports that the instance's decision code failed, with a message. A text is cut at kMaxTextBytes.
+  // Appends a record which says that the policy of the instance failed, with a message.
   void AppendFailure(uint32_t instance, std::string_view message);
-  // The complete frame, valid until the next call.
+  // Returns the complete frame, which is valid until the next call of a member function.
   const std::string& Finish();
-  // Begins the next frame.
+  // Discards the current frame and starts the next one.
   void Reset();
 
  private:
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,6 @@
-// simulator-adapter: the decision modules of many gateways behind the simulator's wire, on standard input and
-// output. Ends with status 0 when its input ends, 1 with a message when the input is wrong.
+// The simulator-adapter program runs the admission policies of many simulated gateways and exchanges frames
+// with the simulator on standard input and output. It exits with status 0 at the end of its input, and with
+// status 1 and a message on standard error if the input is invalid.
 #include <cstdio>
 #include <exception>
 #include <optional>
--- a/src/simulator/wire_protocol.h
+++ b/src/simulator/wire_protocol.h
@@ -1,6 +1,6 @@
-// Codes and sizes of the simulator's wire protocol (WIRE, sections 3 to 9). Here the protocol's own names,
-// given beside each code, meet the terms that the code uses; frame_reader and frame_writer do the same for
-// the fields.
+// Codes and sizes of the simulator's wire protocol (WIRE, sections 3 to 9). The comment beside each code
+// gives its name in the protocol. frame_reader and frame_writer map the fields of the protocol in the same
+// way.
 #ifndef GATEWAY_SIMULATOR_WIRE_PROTOCOL_H_
 #define GATEWAY_SIMULATOR_WIRE_PROTOCOL_H_
 
@@ -9,8 +9,8 @@
 
 namespace gateway::simulator {
 
-// Records of a batch, simulator to adapter (WIRE 6). Each but kEndpointTable names its instance after the
-// code.
+// Records of a batch, which the simulator sends to the adapter (WIRE 6). In every record but kEndpointTable
+// the instance number follows the code.
 enum class EventCode : uint16_t {
   kInstanceStarted = 1000,    // Up
   kEndpointUpdate = 1010,     // View
@@ -26,8 +26,8 @@
   kEndpointTable = 1110,      // Table
 };
 
-// Records of a reply, adapter to simulator (WIRE 9). The policy takes none of the others: Share, Poll,
-// ListAll and Disconnect.
+// Records of a reply, which the adapter sends to the simulator (WIRE 9). The policy does not use the other
+// records of the protocol, which are Share, Poll, ListAll and Disconnect.
 enum class ActionCode : uint16_t {
   kFailRequest = 1000,     // Abort
   kLogEvent = 1020,        // Remark
@@ -40,7 +40,7 @@
   kReportFailure = 1120,   // Broken
 };
 
-// How an attempt or a call to the counter ended (WIRE 8).
+// The outcome of an attempt or of a counter call (WIRE 8).
 enum class OutcomeCode : uint8_t {
   kOk = 0,               // ok
   kNeverSent = 249,      // moot
@@ -52,14 +52,14 @@
   kError = 255,          // error
 };
 
-// `mode` of a list entry (WIRE 7).
+// The field `mode` of an endpoint table entry (WIRE 7).
 enum class EndpointMode : uint8_t {
   kRemoved = 0,   // gone
   kReady = 1,     // ready
   kDraining = 2,  // draining
 };
 
-// `scope` of a View.
+// The field `scope` of the record View.
 enum class EndpointUpdateScope : uint8_t {
   kDelta = 0,   // delta
   kFull = 1,    // full
@@ -67,12 +67,12 @@
   kFailed = 3,  // failed
 };
 
-inline constexpr size_t kFrameLengthBytes = 4;   // the length field that opens each frame
+inline constexpr size_t kFrameLengthBytes = 4;   // the length field at the start of each frame
 inline constexpr size_t kBatchHeaderBytes = 16;  // length, clock, number of records
 inline constexpr size_t kMinRecordBytes = 6;     // code and instance
 inline constexpr size_t kEndpointBytes = 22;     // one entry of a table
 inline constexpr size_t kMaxFrameBytes = size_t{1} << 28;
-inline constexpr size_t kMaxTextBytes = 65535;  // what the u16 length of a text can say
+inline constexpr size_t kMaxTextBytes = 65535;  // limit of the 16-bit length field of a text
 inline constexpr int kEndpointTableCount = 16;
 
 }  // namespace gateway::simulator
