--- a/lab/soak/checks.h
+++ b/lab/soak/checks.h
@@ -1,4 +1,4 @@
-// The operators' rules, checked on the history of a soak.
+// Checks the history of a soak against the operators' rules.
 #ifndef GATEWAY_LAB_SOAK_CHECKS_H_
 #define GATEWAY_LAB_SOAK_CHECKS_H_
 
@@ -11,18 +11,31 @@
 namespace gateway::lab::soak {
 
 enum class Rule {
-  kAnswerInTime,         // one final answer, at most half a second after its time
-  kReadIsAnswered,       // no connection is closed after a request was read and not answered
-  kForwardedIsAnswered,  // nor after it was forwarded
-  kClosedUnreadOnce,     // a closing does not cross the same request twice
-  kClientLeft,           // no attempt begins more than 0.1 s after its client has left
-  kDrain,                // nor at a backend whose grace is over
-  kRunOnce,              // what may not simply be repeated is sent again only where it surely never ran
-  kToldTimeout,          // at most what is left to the client, with 0.15 s of slack
-  kAttempts,             // not more than allowed, and none beside another where hedging is forbidden
-  kExit,                 // status 0 after SIGTERM, and no end by itself
-  kReady,                // within 10 s
-  kDescriptors,          // given back at rest
+  // A request gets one final response, at most half a second after its timeout.
+  kAnswerInTime,
+  // The gateway does not close a connection on which it read a request and has not responded.
+  kReadIsAnswered,
+  // The gateway does not close the connection of a request that it forwarded and has not responded to.
+  kForwardedIsAnswered,
+  // A request is not lost twice because the gateway closed the connection before it read the request.
+  kClosedUnreadOnce,
+  // No attempt begins more than 0.1 s after its client left.
+  kClientLeft,
+  // No attempt begins at a backend whose drain grace is over.
+  kDrain,
+  // A non-idempotent request is sent again only if it certainly was not executed, and a request with an
+  // idempotency key otherwise only within its deduplication window.
+  kRunOnce,
+  // The timeout that is forwarded to a backend is at most the time left to the client, plus 0.15 s of slack.
+  kForwardedTimeout,
+  // A request has at most the allowed number of attempts, and no concurrent attempts if hedging is disabled.
+  kAttempts,
+  // A gateway exits with status 0 after SIGTERM and does not exit without a signal.
+  kExit,
+  // A gateway is ready within 10 s of its start.
+  kReady,
+  // A gateway without load has closed the descriptors that it no longer needs.
+  kDescriptors,
 };
 
 const char* Name(Rule rule);
@@ -30,11 +43,12 @@
 struct Violation {
   Rule rule = Rule::kAnswerInTime;
   double at_s = 0;
-  std::string request_id;  // empty where the rule is not of a request
+  std::string request_id;  // empty if the rule does not concern a single request
   std::string text;
 };
 
-// All breaks, in the order of time. Time in which a gateway, or the soak itself, was held up is allowed for.
+// Returns all violations, sorted by time. Time limits are extended by the time in which the gateway's process
+// or the soak itself was paused.
 std::vector<Violation> CheckHistory(const Deployment& deployment, const HistoryData& history);
 
 }  // namespace gateway::lab::soak
--- a/lab/soak/client.cpp
+++ b/lab/soak/client.cpp
@@ -12,14 +12,14 @@
 constexpr double kLongPauseS = 1;
 constexpr double kPipelinedShare = 0.1;
 constexpr int kMaxPipelined = 3;
-constexpr double kSlowShare = 0.05;
-constexpr double kSlowPauseS = 0.1;
-constexpr double kLeavingShare = 0.05;
-constexpr double kMaxStayS = 0.3;
-constexpr double kMinTimeoutShare = 0.5;  // of the class's deadline
-// How long after its time an answer is still waited for, so that a late one is told from one that never
-// comes.
-constexpr double kPatienceS = 4;
+constexpr double kSlowSendShare = 0.05;
+constexpr double kSlowSendPauseS = 0.1;
+constexpr double kAbandonShare = 0.05;
+constexpr double kMaxAbandonDelayS = 0.3;
+constexpr double kMinTimeoutShare = 0.5;  // smallest timeout as a share of the class's deadline
+// How long a client waits for a response after the timeout, to distinguish a late response from a missing
+// one.
+constexpr double kLateAnswerWaitS = 4;
 constexpr double kRetryConnectS = 0.02;
 
 void Sleep(double duration_s) { std::this_thread::sleep_for(std::chrono::duration<double>(duration_s)); }
@@ -51,7 +51,8 @@
   }
 }
 
-// On a new connection only where the gateway is in service; else to another gateway.
+// Connects only to a gateway that is in service. If that fails, the next call tries a gateway chosen at
+// random.
 bool Client::EnsureConnected() {
   if (connection_ != nullptr) return true;
   const SupervisedGateway& gateway = *gateways_[static_cast<size_t>(gateway_)];
@@ -62,14 +63,14 @@
   return connection_ != nullptr;
 }
 
-Client::Sent Client::MakeRequest() {
+Client::SentRequest Client::MakeRequest() {
   int number = random_.Below(kRequestClasses);
   auto request_class = static_cast<RequestClass>(number);
   double deadline_s = options_.deployment.classes[number].deadline_s;
   char id[24];
   std::snprintf(id, sizeof(id), "%08x%08x", static_cast<unsigned>(options_.number + 1),
                 static_cast<unsigned>(++requests_));
-  Sent sent;
+  SentRequest sent;
   sent.id = id;
   sent.timeout_s = deadline_s * random_.Between(kMinTimeoutShare, 1);
   bool get = request_class == RequestClass::kIdempotent;
@@ -92,7 +93,7 @@
 }
 
 void Client::SendBatch() {
-  std::vector<Sent> batch;
+  std::vector<SentRequest> batch;
   bool pipelined = random_.Uniform() < kPipelinedShare;
   int count = pipelined ? 2 + random_.Below(kMaxPipelined - 1) : 1;
   std::string text;
@@ -100,70 +101,73 @@
     batch.push_back(MakeRequest());
     text += batch.back().text;
   }
-  if (random_.Uniform() < kSlowShare) {
+  if (random_.Uniform() < kSlowSendShare) {
     connection_->Send(text.substr(0, text.size() / 2));
-    Sleep(kSlowPauseS);
+    Sleep(kSlowSendPauseS);
     text.erase(0, text.size() / 2);
   }
   connection_->Send(text);
-  // The time of a pipelined request begins with the answer before it, for which one who leaves does not wait.
-  if (!pipelined && random_.Uniform() < kLeavingShare) return Leave(batch);
+  // The timeout of a pipelined request starts with the response to the request before it. A client that
+  // disconnects early does not wait for that response, so only requests that are not pipelined are abandoned.
+  if (!pipelined && random_.Uniform() < kAbandonShare) return Abandon(batch);
   for (size_t i = 0; i < batch.size(); ++i) {
     history_->MarkSent(batch[i].record);
     if (AwaitAnswer(batch[i])) continue;
     connection_.reset();
-    std::vector<Sent> rest(batch.begin() + static_cast<std::ptrdiff_t>(i) + 1, batch.end());
-    EndRest(rest, history_->EndOf(batch[i].record));
-    return SendAgain(batch);
+    std::vector<SentRequest> rest(batch.begin() + static_cast<std::ptrdiff_t>(i) + 1, batch.end());
+    EndRemaining(rest, history_->OutcomeOf(batch[i].record));
+    return ResendUnread(batch);
   }
 }
 
-void Client::Leave(const std::vector<Sent>& batch) {
-  for (const Sent& request : batch) history_->MarkSent(request.record);
-  connection_->WaitForInput(random_.Between(0, kMaxStayS));
+void Client::Abandon(const std::vector<SentRequest>& batch) {
+  for (const SentRequest& request : batch) history_->MarkSent(request.record);
+  connection_->WaitForInput(random_.Between(0, kMaxAbandonDelayS));
   bool answered = connection_->WaitForInput(0);
   connection_.reset();
-  for (const Sent& request : batch) {
-    history_->EndRequest(request.record, answered ? RequestEnd::kUnobserved : RequestEnd::kClientLeft);
+  for (const SentRequest& request : batch) {
+    history_->EndRequest(request.record,
+                         answered ? RequestOutcome::kUnobserved : RequestOutcome::kClientLeft);
   }
 }
 
-// Those behind a request whose connection has ended. One that was answered by "Connection: close" took them
-// with it unread.
-void Client::EndRest(const std::vector<Sent>& rest, RequestEnd end) {
-  if (end == RequestEnd::kAnswered) end = RequestEnd::kClosedUnread;
-  for (const Sent& request : rest) history_->EndRequest(request.record, end);
+// Ends the pipelined requests behind a request whose connection was closed. If that request was answered with
+// "Connection: close", the gateway did not read the requests behind it.
+void Client::EndRemaining(const std::vector<SentRequest>& rest, RequestOutcome outcome) {
+  if (outcome == RequestOutcome::kAnswered) outcome = RequestOutcome::kClosedUnread;
+  for (const SentRequest& request : rest) history_->EndRequest(request.record, outcome);
 }
 
-RequestEnd Client::EndOfConnection(ReadResult result) const {
+RequestOutcome Client::OutcomeOfClosedConnection(ReadResult result) const {
   if (gateways_[static_cast<size_t>(gateway_)]->View().kills != kills_at_connect_) {
-    return RequestEnd::kGatewayDown;
+    return RequestOutcome::kGatewayDown;
   }
-  if (result == ReadResult::kTimeout) return RequestEnd::kNoAnswer;
-  if (result == ReadResult::kReset) return RequestEnd::kClosedUnread;
-  return connection_->WasEndedOverUnreadBytes() ? RequestEnd::kClosedUnread : RequestEnd::kClosedRead;
+  if (result == ReadResult::kTimeout) return RequestOutcome::kNoAnswer;
+  if (result == ReadResult::kReset) return RequestOutcome::kClosedUnread;
+  return connection_->WasClosedWithUnreadBytes() ? RequestOutcome::kClosedUnread
+                                                 : RequestOutcome::kClosedRead;
 }
 
-bool Client::AwaitAnswer(const Sent& request) {
+bool Client::AwaitAnswer(const SentRequest& request) {
   Message response;
-  ReadResult result = connection_->ReadMessage(request.timeout_s + kPatienceS, &response);
+  ReadResult result = connection_->ReadMessage(request.timeout_s + kLateAnswerWaitS, &response);
   if (result != ReadResult::kMessage) {
-    history_->EndRequest(request.record, EndOfConnection(result));
+    history_->EndRequest(request.record, OutcomeOfClosedConnection(result));
     return false;
   }
-  history_->EndRequest(request.record, RequestEnd::kAnswered, response.Status());
+  history_->EndRequest(request.record, RequestOutcome::kAnswered, response.Status());
   return response.Field("Connection") != "close";
 }
 
-// What the gateway's closing crossed is sent once more, on a new connection.
-void Client::SendAgain(const std::vector<Sent>& requests) {
-  for (const Sent& request : requests) {
-    if (history_->EndOf(request.record) != RequestEnd::kClosedUnread) continue;
+// Resends, on a new connection, the requests that the gateway had not read when it closed the connection.
+void Client::ResendUnread(const std::vector<SentRequest>& requests) {
+  for (const SentRequest& request : requests) {
+    if (history_->OutcomeOf(request.record) != RequestOutcome::kClosedUnread) continue;
     double end_s = history_->Now() + 1;
     while (!EnsureConnected() && history_->Now() < end_s) Sleep(kRetryConnectS);
     if (connection_ == nullptr) return;
-    Sent again = request;
-    again.record = history_->AddSendingAgain(request.record, gateway_);
+    SentRequest again = request;
+    again.record = history_->AddResend(request.record, gateway_);
     connection_->Send(again.text);
     history_->MarkSent(again.record);
     if (!AwaitAnswer(again)) connection_.reset();
--- a/lab/soak/client.h
+++ b/lab/soak/client.h
@@ -1,4 +1,4 @@
-// A client in a soak.
+// A client that sends requests to the gateways of a soak.
 #ifndef GATEWAY_LAB_SOAK_CLIENT_H_
 #define GATEWAY_LAB_SOAK_CLIENT_H_
 
@@ -19,9 +19,10 @@
 
 using Gateways = std::vector<std::unique_ptr<SupervisedGateway>>;
 
-// Sends one request after another on a connection that it keeps, on a thread of its own: some pipelined, some
-// written slowly, some left before their answer. It goes on using its connection for as long as that stays
-// open, and sends a request that the gateway's closing crossed once more. The seed decides what it does.
+// Sends one request after another from its own thread. Some requests are pipelined, some are sent slowly, and
+// some are abandoned before the response. The client reuses its connection as long as it stays open, and
+// resends a request once if the gateway closed the connection before reading it. The seed determines all
+// random choices.
 class Client {
  public:
   struct Options {
@@ -30,9 +31,9 @@
     Deployment deployment;
   };
 
-  // The pointers outlive the client.
+  // `history` and `gateways` have to outlive the client.
   Client(History* history, const Gateways* gateways, const Options& options);
-  // Waits for the answer to what was sent.
+  // Waits for the responses to the requests that were sent.
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
@@ -40,9 +41,9 @@
   void Stop() { stopping_ = true; }
 
  private:
-  // A request that was sent and not answered yet.
-  struct Sent {
-    size_t record = 0;  // of History
+  // A request that was sent and not yet answered.
+  struct SentRequest {
+    size_t record = 0;  // index of the request in History
     std::string id;
     std::string text;
     double timeout_s = 0;
@@ -51,13 +52,13 @@
   void Run();
   bool EnsureConnected();
   void SendBatch();
-  Sent MakeRequest();
-  // Returns false where the connection has ended.
-  bool AwaitAnswer(const Sent& request);
-  void Leave(const std::vector<Sent>& batch);
-  void EndRest(const std::vector<Sent>& rest, RequestEnd end);
-  void SendAgain(const std::vector<Sent>& requests);
-  RequestEnd EndOfConnection(ReadResult result) const;
+  SentRequest MakeRequest();
+  // Waits for the response and records the outcome. Returns false if the connection can no longer be used.
+  bool AwaitAnswer(const SentRequest& request);
+  void Abandon(const std::vector<SentRequest>& batch);
+  void EndRemaining(const std::vector<SentRequest>& rest, RequestOutcome outcome);
+  void ResendUnread(const std::vector<SentRequest>& requests);
+  RequestOutcome OutcomeOfClosedConnection(ReadResult result) const;
 
   History* const history_;
   const Gateways& gateways_;
--- a/lab/soak/connection.cpp
+++ b/lab/soak/connection.cpp
@@ -23,7 +23,8 @@
 
 constexpr int kAcceptQueue = 1024;
 constexpr size_t kReadBytes = 16384;
-// In which a reset that follows the end of a connection has come on loopback, on a busy machine too.
+// On loopback a reset that follows the close of a connection arrives within this time, even on a busy
+// machine.
 constexpr int kResetWaitMs = 200;
 
 sockaddr_in LoopbackAddress(int port) {
@@ -47,7 +48,7 @@
   auto* generic = reinterpret_cast<sockaddr*>(&address);
   if (bind(descriptor, generic, size) != 0 || listen(descriptor, kAcceptQueue) != 0 ||
       getsockname(descriptor, generic, &size) != 0) {
-    throw std::runtime_error("no loopback port can be opened");
+    throw std::runtime_error("cannot listen on a loopback port");
   }
   *port = ntohs(address.sin_port);
   return descriptor;
@@ -141,8 +142,9 @@
   return poll(&input, 1, static_cast<int>(timeout_s * 1000) + 1) > 0;
 }
 
-// Bytes that come to a socket after its close are answered by a reset, which follows the end.
-bool Connection::WasEndedOverUnreadBytes() const {
+// The kernel answers bytes that arrive at a closed socket with a reset, which arrives after the end of the
+// stream.
+bool Connection::WasClosedWithUnreadBytes() const {
   pollfd error{descriptor_, 0, 0};
   if (poll(&error, 1, kResetWaitMs) > 0 && (error.revents & (POLLERR | POLLHUP)) != 0) return true;
   int unacknowledged = 0;
@@ -155,7 +157,7 @@
   close(std::exchange(descriptor_, -1));
 }
 
-void Connection::Stop() const { shutdown(descriptor_, SHUT_RDWR); }
+void Connection::Shutdown() const { shutdown(descriptor_, SHUT_RDWR); }
 
 Server::Server(Handler handler) : handler_(std::move(handler)) {
   listener_ = Listen(OpenSocket(), &port_);
@@ -174,7 +176,7 @@
 void Server::EndConnections() {
   std::lock_guard lock(mutex_);
   for (Session& session : sessions_) {
-    if (!session.ended) session.connection.Stop();
+    if (!session.ended) session.connection.Shutdown();
   }
 }
 
@@ -183,17 +185,17 @@
     int descriptor = accept4(listener_, nullptr, nullptr, SOCK_CLOEXEC);
     if (descriptor < 0) continue;
     std::lock_guard lock(mutex_);
-    DropEnded();
+    RemoveEndedSessions();
     Session& session = sessions_.emplace_back(descriptor);
     session.thread = std::thread([this, &session] {
       handler_(session.connection);
-      session.connection.Stop();
+      session.connection.Shutdown();
       session.ended = true;
     });
   }
 }
 
-void Server::DropEnded() {
+void Server::RemoveEndedSessions() {
   sessions_.remove_if([](Session& session) {
     if (!session.ended) return false;
     session.thread.join();
@@ -203,7 +205,7 @@
 
 int FreePort() {
   constexpr int kFirstPort = 20000;
-  constexpr int kPorts = 12000;  // below those that the system gives to connections
+  constexpr int kPorts = 12000;  // the range lies below the ephemeral ports of the system
   static std::atomic<int> next{getpid()};
   for (int i = 0; i < kPorts; ++i) {
     int port = kFirstPort + next++ % kPorts;
--- a/lab/soak/connection.h
+++ b/lab/soak/connection.h
@@ -1,4 +1,4 @@
-// Blocking TCP connections and servers on loopback, for the soak's stand-ins.
+// Blocking TCP connections and servers on loopback, for the clients and the stand-ins of a soak.
 #ifndef GATEWAY_LAB_SOAK_CONNECTION_H_
 #define GATEWAY_LAB_SOAK_CONNECTION_H_
 
@@ -13,25 +13,26 @@
 
 namespace gateway::lab::soak {
 
-// What a wait for bytes found.
+// The result of waiting for a message or a line.
 enum class ReadResult {
   kMessage,
   kTimeout,
-  kEnded,  // the other side has ended the connection
+  kEnded,  // the peer closed the connection
   kReset,
 };
 
 // An HTTP/1.1 message with a Content-Length.
 struct Message {
-  std::string head;  // start line and fields, each ended by CRLF
+  std::string head;  // start line and header fields, each followed by CRLF
   std::string body;
 
-  // The value of a field, by its name in any case; empty where there is none.
+  // Returns the value of a header field, or an empty string if it is absent. Ignores the case of the name.
   std::string Field(std::string_view name) const;
-  int Status() const;  // of a response
+  // Returns the status code. The message has to be a response.
+  int Status() const;
 };
 
-// One end of a connection. Used by one thread, but for Stop().
+// One end of a TCP connection. Only Shutdown() may be called from other threads.
 class Connection {
  public:
   explicit Connection(int descriptor) : descriptor_(descriptor) {}
@@ -39,24 +40,25 @@
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  // Null where nobody listens.
+  // Returns null if the connection fails.
   static std::unique_ptr<Connection> Connect(int port);
 
   bool Send(std::string_view text);
-  // Waits for a complete message, for so long. What came beyond it stays for the next call.
+  // Waits up to `timeout_s` for a complete message. Bytes received after it are kept for the next call.
   ReadResult ReadMessage(double timeout_s, Message* message);
-  // The same for a line, which is returned without its CRLF.
+  // Waits up to `timeout_s` for a line, which is returned without its CRLF.
   ReadResult ReadLine(double timeout_s, std::string* line);
-  // Waits for the other side to end the connection or to send, for so long.
+  // Waits up to `timeout_s` until the peer sends bytes or closes the connection.
   bool WaitForInput(double timeout_s) const;
   bool HasBytes() const { return !received_.empty(); }
-  // After the other side has ended the connection: whether there are bytes of ours that it did not read: they
-  // were answered by a reset, or never acknowledged.
-  bool WasEndedOverUnreadBytes() const;
-  // Ends the connection by a reset.
+  // Returns whether the peer, which has closed the connection, left bytes of this side unread. Such bytes
+  // were answered with a reset or never acknowledged.
+  bool WasClosedWithUnreadBytes() const;
+  // Closes the connection with a reset.
   void Reset();
-  // Ends both directions, so that a thread that waits in a call returns. May be called from another thread.
-  void Stop() const;
+  // Shuts down both directions, so that a thread that is blocked in a call returns. May be called from
+  // another thread.
+  void Shutdown() const;
 
  private:
   bool TakeMessage(Message* message);
@@ -67,18 +69,18 @@
   std::string received_;
 };
 
-// Accepts connections on a loopback port and serves each on a thread of its own.
+// Accepts connections on a loopback port and serves each on its own thread.
 class Server {
  public:
   using Handler = std::function<void(Connection&)>;
-  // Throws std::runtime_error where no port can be opened.
+  // Throws std::runtime_error if it cannot listen on a port.
   explicit Server(Handler handler);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
   int port() const { return port_; }
-  // Ends all connections that are open now.
+  // Shuts down all connections that are currently open.
   void EndConnections();
 
  private:
@@ -90,7 +92,7 @@
   };
 
   void Accept();
-  void DropEnded();
+  void RemoveEndedSessions();
 
   const Handler handler_;
   int listener_ = -1;
@@ -101,8 +103,8 @@
   std::thread thread_;
 };
 
-// A loopback port that nobody listens on now, and that no connection of this or another process is given.
-// Each call returns another one.
+// Returns a loopback port that is not in use and that the system does not assign to outgoing connections.
+// Each call returns a different port.
 int FreePort();
 
 }  // namespace gateway::lab::soak
--- a/lab/soak/deployment.cpp
+++ b/lab/soak/deployment.cpp
@@ -8,20 +8,21 @@
 
 using nlohmann::json;
 
-// From the operators' protocol: SIGKILL comes no sooner after SIGTERM than the longest deadline, of which at
-// most so much counts, and so much more.
+// By the operators' protocol, SIGKILL follows SIGTERM no sooner than after the longest deadline, limited to
+// kMaxKillDeadlineS, plus kKillGraceS.
 constexpr double kMaxKillDeadlineS = 3;
 constexpr double kKillGraceS = 0.7;
 
 constexpr double kConnectionIdleS = 4;
 constexpr double kConnectTimeoutS = 0.25;
-// Memory limits of a gateway, which bound its places for clients: some thirty, and plenty.
-constexpr int kFewPlacesMb = 16;
-constexpr int kManyPlacesMb = 64;
-constexpr int kClients = 8;          // for each gateway
-constexpr int kCrowdedClients = 40;  // more than it has places for
-constexpr int kCrowdedGateways = 3;
-constexpr double kCrowdShare = 0.4;  // of the seeds
+// The memory limit of a gateway bounds its connection slots for clients. The lower limit leaves about thirty
+// slots, the higher one far more than the clients need.
+constexpr int kFewSlotsMemoryMb = 16;
+constexpr int kManySlotsMemoryMb = 64;
+constexpr int kClientsPerGateway = 8;
+constexpr int kExhaustionClientsPerGateway = 40;  // more than a gateway has connection slots for
+constexpr int kExhaustionGateways = 3;
+constexpr double kExhaustionShare = 0.4;  // share of the seeds whose deployment exhausts connection slots
 
 const char* EffectName(RequestClass request_class) {
   switch (request_class) {
@@ -49,7 +50,7 @@
           {"streamed", false}};
 }
 
-// Plenty for each tenant: quotas are not what the soak looks at.
+// A plan with ample quotas, since the soak does not test quotas.
 json PlanJson() {
   return {{"name", "business"},   {"units-per-s", 500.0}, {"store-size", 1000.0}, {"never-over-rate", 0.0},
           {"ceiling-burst", 0.0}, {"cap-slack", 0.0},     {"excess-worth", 0.0},  {"over-cost", 0.8},
@@ -125,16 +126,18 @@
   deployment.drain_grace_s = DrawOne(random, {0.4, 0.5, 0.8, 2.0});
   deployment.hedging = random->Uniform() < 0.5;
   deployment.cancellation = random->Uniform() < 0.5;
-  bool crowd = random->Uniform() < kCrowdShare;
-  if (crowd) deployment.gateways = kCrowdedGateways;
-  deployment.clients = (crowd ? kCrowdedClients : kClients) * deployment.gateways;
+  bool exhausts_connections = random->Uniform() < kExhaustionShare;
+  if (exhausts_connections) deployment.gateways = kExhaustionGateways;
+  deployment.clients =
+      (exhausts_connections ? kExhaustionClientsPerGateway : kClientsPerGateway) * deployment.gateways;
   deployment.max_sockets = DrawOne(random, {256, 512, 1024});
-  deployment.max_memory_mb = crowd ? kFewPlacesMb : kManyPlacesMb;
-  deployment.idle_clients = crowd ? 40 : 0;
+  deployment.max_memory_mb = exhausts_connections ? kFewSlotsMemoryMb : kManySlotsMemoryMb;
+  deployment.idle_clients = exhausts_connections ? 40 : 0;
   return deployment;
 }
 
-json MakeConfiguration(const Deployment& deployment, const GatewayAddresses& addresses, const json& known) {
+json MakeConfiguration(const Deployment& deployment, const GatewayAddresses& addresses,
+                       const json& cached_list) {
   return {{"name", addresses.name},
           {"listen", Loopback(addresses.listen_port)},
           {"discovery", Loopback(addresses.discovery_port)},
@@ -142,7 +145,7 @@
           {"seed", "8c1f30d27a5be964"},
           {"limits",
            {{"cores", 1.0}, {"memory_mb", deployment.max_memory_mb}, {"sockets", deployment.max_sockets}}},
-          {"known", known},
+          {"known", cached_list},
           {"settings", SettingsJson(deployment)}};
 }
 
--- a/lab/soak/deployment.h
+++ b/lab/soak/deployment.h
@@ -1,4 +1,4 @@
-// The deployment of one soak, drawn from its seed within the operators' protocol.
+// The deployment of one soak, which is drawn from the seed within the limits of the operators' protocol.
 #ifndef GATEWAY_LAB_SOAK_DEPLOYMENT_H_
 #define GATEWAY_LAB_SOAK_DEPLOYMENT_H_
 
@@ -21,20 +21,22 @@
   int gateways = 0;
   int backends = 0;
   int clients = 0;
-  ClassOptions classes[kRequestClasses];  // by RequestClass
+  ClassOptions classes[kRequestClasses];  // indexed by RequestClass
   double drain_grace_s = 0;
   bool hedging = false;
   bool cancellation = false;
   int max_sockets = 0;
   int max_memory_mb = 0;
-  int idle_clients = 0;  // that fill a gateway's places when a crowd comes; 0: none comes
+  // Number of idle connections with which the event kExhaustConnections uses up a gateway's connection slots.
+  // With 0 there is no such event.
+  int idle_clients = 0;
 
   double LongestDeadlineS() const;
-  // From SIGTERM to the earliest SIGKILL that the operators allow.
+  // Returns the time from SIGTERM to the earliest SIGKILL that the operators allow.
   double KillAfterS() const;
 };
 
-// Names of the protocol, by RequestClass.
+// Returns the name of a request class in the protocol.
 const char* ClassName(RequestClass request_class);
 
 Deployment DrawDeployment(Random* random);
@@ -46,9 +48,10 @@
   int counter_port = 0;
 };
 
-// A gateway's configuration file. `known`: the endpoint list as it was last known, in discovery's form.
+// Returns the content of a gateway's configuration file. `cached_list` is the last known endpoint list in the
+// format of discovery.
 nlohmann::json MakeConfiguration(const Deployment& deployment, const GatewayAddresses& addresses,
-                                 const nlohmann::json& known);
+                                 const nlohmann::json& cached_list);
 
 }  // namespace gateway::lab::soak
 
--- a/lab/soak/history.cpp
+++ b/lab/soak/history.cpp
@@ -4,12 +4,12 @@
 
 namespace gateway::lab::soak {
 
-size_t History::AddSendingAgain(size_t index, int gateway) {
+size_t History::AddResend(size_t index, int gateway) {
   std::lock_guard lock(mutex_);
   RequestRecord again = data_.requests[index];
   again.gateway = gateway;
-  again.sent_again = true;
-  again.end = RequestEnd::kPending;
+  again.is_resend = true;
+  again.outcome = RequestOutcome::kPending;
   data_.requests.push_back(again);
   return data_.requests.size() - 1;
 }
@@ -19,22 +19,22 @@
   data_.requests[index].sent_s = Now();
 }
 
-RequestEnd History::EndOf(size_t index) {
+RequestOutcome History::OutcomeOf(size_t index) {
   std::lock_guard lock(mutex_);
-  return data_.requests[index].end;
+  return data_.requests[index].outcome;
 }
 
-void History::EndRequest(size_t index, RequestEnd end, int status) {
+void History::EndRequest(size_t index, RequestOutcome outcome, int status) {
   std::lock_guard lock(mutex_);
   RequestRecord& request = data_.requests[index];
-  request.end = end;
+  request.outcome = outcome;
   request.status = status;
   request.ended_s = Now();
 }
 
-void History::EndAttempt(size_t index, AttemptEnd end) {
+void History::EndAttempt(size_t index, AttemptOutcome outcome) {
   std::lock_guard lock(mutex_);
-  data_.attempts[index].end = end;
+  data_.attempts[index].outcome = outcome;
   data_.attempts[index].ended_s = Now();
 }
 
--- a/lab/soak/history.h
+++ b/lab/soak/history.h
@@ -1,4 +1,4 @@
-// What happened in one soak: requests, attempts, and the events that the schedule brought about.
+// The record of one soak: its requests, attempts and scheduled events.
 #ifndef GATEWAY_LAB_SOAK_HISTORY_H_
 #define GATEWAY_LAB_SOAK_HISTORY_H_
 
@@ -9,86 +9,91 @@
 
 namespace gateway::lab::soak {
 
-// Request classes of the soak's deployment, one of each idempotency.
+// The request classes of a soak's deployment, one for each kind of idempotency.
 enum class RequestClass { kIdempotent, kIdempotencyKey, kNonIdempotent };
 inline constexpr int kRequestClasses = 3;
 
 inline constexpr int kAllGateways = -1;
 
-// How a request ended, as its client sees it.
-enum class RequestEnd {
+// The outcome of a request as its client sees it.
+enum class RequestOutcome {
   kPending,
   kAnswered,
   kClosedRead,    // the gateway closed the connection after it had read the request
-  kClosedUnread,  // the closing crossed the request, or answered it by "Connection: close"
-  kNoAnswer,      // none within the time that the soak waits
-  kClientLeft,    // its client closed the connection
+  kClosedUnread,  // the gateway closed the connection, or answered with "Connection: close", before it read
+                  // the request
+  kNoAnswer,      // no response arrived while the client waited
+  kClientLeft,    // the client closed the connection before a response
   kGatewayDown,   // the gateway was killed
-  kUnobserved,    // its client left as an answer came
+  kUnobserved,    // the client closed the connection while a response arrived
 };
 
-// One sending of a request. A request that is sent again because the gateway's closing crossed it has two.
+// One transmission of a request. A request that is resent, because the gateway closed the connection before
+// reading it, has two records.
 struct RequestRecord {
   std::string id;
   RequestClass request_class = RequestClass::kIdempotent;
   int gateway = 0;
-  double sent_s = 0;     // its last byte
-  double timeout_s = 0;  // that the client told
-  bool sent_again = false;
-  RequestEnd end = RequestEnd::kPending;
+  double sent_s = 0;     // when the last byte was sent
+  double timeout_s = 0;  // as the client sent it
+  bool is_resend = false;
+  RequestOutcome outcome = RequestOutcome::kPending;
   double ended_s = 0;
-  int status = 0;  // of the answer
+  int status = 0;  // status code of the response
 };
 
-// How an attempt ended, as its backend sees it.
-enum class AttemptEnd {
+// The outcome of an attempt as its backend sees it.
+enum class AttemptOutcome {
   kOpen,
   kAnswered,
-  kError,       // a failure that may have had an effect
-  kNotStarted,  // turned away unseen
-  kReset,       // by the backend, after it began
-  kGivenUp,     // the gateway closed the connection
+  kError,            // failed, possibly with side effects
+  kNotStarted,       // rejected before it was executed
+  kReset,            // the backend reset the connection after it received the request
+  kClosedByGateway,  // the gateway closed the connection
 };
 
 struct AttemptRecord {
   std::string request_id;
   int backend = 0;
   double first_byte_s = 0;
-  double begun_s = 0;         // its last byte has come
-  double told_timeout_s = 0;  // that the gateway told
-  AttemptEnd end = AttemptEnd::kOpen;
+  double received_s = 0;           // when the last byte arrived
+  double forwarded_timeout_s = 0;  // as the gateway sent it
+  AttemptOutcome outcome = AttemptOutcome::kOpen;
   double ended_s = 0;
 };
 
-// A gateway's process stood still; or, with kAllGateways, the soak's own threads.
-struct HoldRecord {
+// A period in which a gateway's process was paused or, with kAllGateways, the soak's own threads were
+// delayed.
+struct PauseRecord {
   int gateway = 0;
   double from_s = 0;
   double to_s = 0;
 };
 
-// A backend was listed as draining or gone, where the agent could be reached.
+// A period in which the discovery agent listed a backend as draining or gone. It starts when the agent can be
+// reached.
 struct NoticeRecord {
   int backend = 0;
   double notified_s = 0;
-  double until_s = 0;  // listed as ready again; or the end of the soak
+  // When the backend was listed as ready again; after the end of the soak if it never was.
+  double until_s = 0;
 };
 
-// A gateway's process has ended.
+// A gateway's process ended.
 struct ExitRecord {
   int gateway = 0;
   double at_s = 0;
-  bool killed = false;  // by the soak
-  int status = 0;       // of the exit, or the negative number of the signal
+  bool killed = false;  // the soak killed the process
+  int status = 0;       // exit status, or the negated number of the signal that ended the process
 };
 
 struct StartRecord {
   int gateway = 0;
   double started_s = 0;
-  double ready_s = 0;  // below zero: not within the limit
+  double ready_s = 0;  // seconds from the start until ready; negative if the process was not ready in time
 };
 
-// Discovery's agent answered nothing.
+// A period in which the discovery agent did not answer.
 struct SilenceRecord {
   double from_s = 0;
   double to_s = 0;
@@ -99,35 +104,36 @@
   std::string text;
 };
 
-// All that a soak has recorded; plain data, for the checks.
+// All records of a soak, as plain data for the checks.
 struct HistoryData {
   std::vector<RequestRecord> requests;
   std::vector<AttemptRecord> attempts;
-  std::vector<HoldRecord> holds;
+  std::vector<PauseRecord> pauses;
   std::vector<NoticeRecord> notices;
   std::vector<SilenceRecord> silences;
   std::vector<ExitRecord> exits;
   std::vector<StartRecord> starts;
   std::vector<EventRecord> events;
-  std::vector<EventRecord> leaks;  // descriptors that were not given back
+  std::vector<EventRecord> leaks;  // gateways that did not close descriptors
 };
 
-// Records from many threads. An index that Add returns stays valid.
+// Collects records. Thread-safe. An index that an Add function returns stays valid until Take().
 class History {
  public:
-  // Seconds since the soak began.
+  // Returns the seconds since the soak began.
   double Now() const { return std::chrono::duration<double>(Clock::now() - began_at_).count(); }
 
   size_t AddRequest(const RequestRecord& request) { return Add(&HistoryData::requests, request); }
-  // A second sending of a request.
-  size_t AddSendingAgain(size_t index, int gateway);
-  // The last byte of the request has been sent, or the answer before it has come.
+  // Records that the request at `index` is sent a second time, and returns the index of the new record.
+  size_t AddResend(size_t index, int gateway);
+  // Records that the last byte of the request was sent or, for a pipelined request, that the response before
+  // it arrived.
   void MarkSent(size_t index);
-  RequestEnd EndOf(size_t index);
-  void EndRequest(size_t index, RequestEnd end, int status = 0);
+  RequestOutcome OutcomeOf(size_t index);
+  void EndRequest(size_t index, RequestOutcome outcome, int status = 0);
   size_t AddAttempt(const AttemptRecord& attempt) { return Add(&HistoryData::attempts, attempt); }
-  void EndAttempt(size_t index, AttemptEnd end);
-  void AddHold(const HoldRecord& hold) { Add(&HistoryData::holds, hold); }
+  void EndAttempt(size_t index, AttemptOutcome outcome);
+  void AddPause(const PauseRecord& pause) { Add(&HistoryData::pauses, pause); }
   size_t AddNotice(const NoticeRecord& notice) { return Add(&HistoryData::notices, notice); }
   void EndNotice(size_t index);
   void AddSilence(const SilenceRecord& silence) { Add(&HistoryData::silences, silence); }
@@ -136,6 +142,7 @@
   void AddEvent(const std::string& text) { Add(&HistoryData::events, {Now(), text}); }
   void AddLeak(const std::string& text) { Add(&HistoryData::leaks, {Now(), text}); }
 
+  // Returns all records and clears the history.
   HistoryData Take();
 
  private:
--- a/lab/soak/schedule.h
+++ b/lab/soak/schedule.h
@@ -1,4 +1,4 @@
-// What happens to a deployment in a soak, and when. The same seed gives the same schedule.
+// The schedule of the failures and other events of a soak. The same seed gives the same schedule.
 #ifndef GATEWAY_LAB_SOAK_SCHEDULE_H_
 #define GATEWAY_LAB_SOAK_SCHEDULE_H_
 
@@ -11,31 +11,31 @@
 namespace gateway::lab::soak {
 
 enum class EventKind {
-  kHold,             // a gateway's process stands still
+  kPause,            // a gateway's process is stopped and continued
   kKill,             // a gateway is killed and started again
-  kKillMost,         // seven in ten gateways are
-  kRestart,          // a gateway is told to end, killed at the earliest, and started again
-  kReload,           // all gateways get SIGHUP, and the other address of discovery and counter
+  kKillMost,         // seven of ten gateways are killed and started again
+  kRestart,          // a gateway is ended by SIGTERM, or SIGKILL if it takes too long, and started again
+  kReload,           // all gateways switch to the other address of discovery and the counter and get SIGHUP
   kReloadSeries,     // one gateway gets SIGHUP several times
-  kDiscoverySilent,  // the agent answers nothing
-  kWatchesEnd,       // its connections end
-  kBackendDrains,    // and is gone some seconds later
-  kBackendVanishes,  // from the list, at once
-  kBackendHangs,     // answers nothing
-  kBackendResets,    // ends all its connections
-  kCounterSilent,    // the counter answers nothing
+  kDiscoverySilent,  // the discovery agent does not answer
+  kWatchesClosed,    // the discovery agent closes its connections
+  kBackendDrains,    // a backend is listed as draining and is gone some seconds later
+  kBackendRemoved,   // a backend is removed from the list without draining
+  kBackendHangs,     // a backend does not answer
+  kBackendResets,    // a backend closes all its connections
+  kCounterSilent,    // the counter does not answer
   kCounterLosesState,
-  kCrowd,  // idle clients fill a gateway's places
+  kExhaustConnections,  // idle clients use up a gateway's connection slots
 };
 
 struct ScheduledEvent {
   double at_s = 0;
-  EventKind kind = EventKind::kHold;
-  int target = 0;         // a gateway or a backend
-  double duration_s = 0;  // of a hold or a silence
+  EventKind kind = EventKind::kPause;
+  int target = 0;         // index of the gateway or backend
+  double duration_s = 0;  // how long the event lasts; 0 for an event that only triggers something
 };
 
-// In the order of time. Events often come right after one another, so that their effects cross.
+// Returns the events sorted by time. Many events follow each other closely, so that their effects overlap.
 std::vector<ScheduledEvent> DrawSchedule(const Deployment& deployment, double duration_s, Random* random);
 
 std::string Describe(const ScheduledEvent& event);
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -17,18 +17,18 @@
 namespace gateway::lab::soak {
 namespace {
 
-constexpr double kLagTickS = 0.005;
+constexpr double kLagSampleIntervalS = 0.005;
 constexpr double kMinLagS = 0.01;
-constexpr double kRestLimitS =
-    8;  // after the clients have gone, until idle connections to backends are closed
-// At rest: standard streams 3, log 1, event loop 3, signals 2, listener 1, discovery 2, counter 8, and 2 of
-// the counter before.
-constexpr int kDescriptorsAtRest = 22;
-constexpr int kReloadsInASeries = 5;
+// Time after the end of the clients within which a gateway has to close its idle connections to backends.
+constexpr double kMaxIdleWaitS = 8;
+// The descriptors of a gateway without load: 3 standard streams, 1 for the log, 3 of the event loop, 2 for
+// signals, 1 listener, 2 for discovery, 8 for the counter, and 2 for the previous counter address.
+constexpr int kMaxIdleDescriptors = 22;
+constexpr int kReloadsPerSeries = 5;
 
 void Sleep(double duration_s) { std::this_thread::sleep_for(std::chrono::duration<double>(duration_s)); }
 
-// Measures how late the soak's own threads run on a busy machine.
+// Measures the scheduling delay of the soak's own threads on a busy machine and records it as pauses.
 class LagMeter {
  public:
   explicit LagMeter(History* history) : history_(history), thread_([this] { Run(); }) {}
@@ -42,10 +42,10 @@
  private:
   void Run() {
     while (!stopping_) {
-      double due_s = history_->Now() + kLagTickS;
-      Sleep(kLagTickS);
+      double due_s = history_->Now() + kLagSampleIntervalS;
+      Sleep(kLagSampleIntervalS);
       double now_s = history_->Now();
-      if (now_s - due_s > kMinLagS) history_->AddHold({kAllGateways, due_s, now_s});
+      if (now_s - due_s > kMinLagS) history_->AddPause({kAllGateways, due_s, now_s});
     }
   }
 
@@ -54,10 +54,10 @@
   std::thread thread_;
 };
 
-// One play of a seed.
-class Play {
+// Runs the soak of one seed.
+class SoakRun {
  public:
-  Play(const SoakOptions& options, uint64_t seed)
+  SoakRun(const SoakOptions& options, uint64_t seed)
       : options_(options), seed_(seed), random_(seed), deployment_(DrawDeployment(&random_)) {
     std::vector<int> ports;
     for (int i = 0; i < deployment_.backends; ++i) {
@@ -65,7 +65,7 @@
       ports.push_back(backends_.back()->port());
     }
     discovery_ = std::make_unique<DiscoveryStandIn>(&history_, ports);
-    known_ = discovery_->FullList();
+    cached_list_ = discovery_->FullList();
     for (int i = 0; i < deployment_.gateways; ++i) AddGateway(i);
   }
 
@@ -107,7 +107,7 @@
 
   void StartGateways() {
     std::list<std::thread> starts;
-    for (auto& gateway : gateways_) starts.emplace_back([&] { gateway->Start(known_); });
+    for (auto& gateway : gateways_) starts.emplace_back([&] { gateway->Start(cached_list_); });
     for (std::thread& start : starts) start.join();
   }
 
@@ -118,18 +118,18 @@
   }
 
   void CheckDescriptors() {
-    double end_s = history_.Now() + kRestLimitS;
-    auto at_rest = [](const auto& gateway) { return gateway->OpenDescriptors() <= kDescriptorsAtRest; };
-    while (history_.Now() < end_s && !std::all_of(gateways_.begin(), gateways_.end(), at_rest)) Sleep(0.1);
+    double end_s = history_.Now() + kMaxIdleWaitS;
+    auto is_idle = [](const auto& gateway) { return gateway->OpenDescriptors() <= kMaxIdleDescriptors; };
+    while (history_.Now() < end_s && !std::all_of(gateways_.begin(), gateways_.end(), is_idle)) Sleep(0.1);
     for (size_t i = 0; i < gateways_.size(); ++i) {
       int open = gateways_[i]->OpenDescriptors();
-      if (open <= kDescriptorsAtRest) continue;
+      if (open <= kMaxIdleDescriptors) continue;
       history_.AddLeak("gateway " + std::to_string(i) + " holds " + std::to_string(open) +
                        " descriptors at rest");
     }
   }
 
-  // Each event on a thread of its own, so that those that last may cross.
+  // Runs each event on its own thread, so that events with a duration can overlap.
   void RunSchedule(const std::vector<ScheduledEvent>& schedule) {
     std::list<std::thread> events;
     double began_s = history_.Now();
@@ -145,18 +145,19 @@
   void RunEvent(const ScheduledEvent& event) {
     auto target = static_cast<size_t>(event.target);
     switch (event.kind) {
-      case EventKind::kHold: return gateways_[target]->Hold(event.duration_s);
-      case EventKind::kKill: return gateways_[target]->Kill(known_);
+      case EventKind::kPause: return gateways_[target]->Pause(event.duration_s);
+      case EventKind::kKill: return gateways_[target]->Kill(cached_list_);
       case EventKind::kKillMost: return KillMost();
-      case EventKind::kRestart: return gateways_[target]->Restart(known_, policy::MixBits(seed_ + target));
+      case EventKind::kRestart:
+        return gateways_[target]->Restart(cached_list_, policy::MixBits(seed_ + target));
       case EventKind::kReload: return ReloadAll();
       case EventKind::kReloadSeries:
-        return gateways_[target]->Reload(discovery_->port(address_), counter_.port(address_),
-                                         kReloadsInASeries);
+        return gateways_[target]->Reload(discovery_->port(address_index_), counter_.port(address_index_),
+                                         kReloadsPerSeries);
       case EventKind::kDiscoverySilent: return SilenceDiscovery(event.duration_s);
-      case EventKind::kWatchesEnd: return discovery_->EndConnections();
+      case EventKind::kWatchesClosed: return discovery_->EndConnections();
       case EventKind::kBackendDrains: return RemoveBackend(event, ListState::kDraining);
-      case EventKind::kBackendVanishes: return RemoveBackend(event, ListState::kGone);
+      case EventKind::kBackendRemoved: return RemoveBackend(event, ListState::kGone);
       case EventKind::kBackendHangs:
         backends_[target]->SetHanging(true);
         Sleep(event.duration_s);
@@ -167,21 +168,21 @@
         Sleep(event.duration_s);
         return counter_.SetSilent(false);
       case EventKind::kCounterLosesState: return counter_.LoseState();
-      case EventKind::kCrowd: return FillPlaces(target);
+      case EventKind::kExhaustConnections: return ExhaustConnections(target);
     }
   }
 
   void KillMost() {
     std::list<std::thread> kills;
     size_t count = gateways_.size() * 7 / 10;
-    for (size_t i = 0; i < count; ++i) kills.emplace_back([this, i] { gateways_[i]->Kill(known_); });
+    for (size_t i = 0; i < count; ++i) kills.emplace_back([this, i] { gateways_[i]->Kill(cached_list_); });
     for (std::thread& killed : kills) killed.join();
   }
 
   void ReloadAll() {
-    address_ = 1 - address_;
+    address_index_ = 1 - address_index_;
     for (auto& gateway : gateways_) {
-      gateway->Reload(discovery_->port(address_), counter_.port(address_), 1);
+      gateway->Reload(discovery_->port(address_index_), counter_.port(address_index_), 1);
     }
   }
 
@@ -195,7 +196,8 @@
     history_.AddSilence(silence);
   }
 
-  // Draining for half of the time, then gone, then listed as ready again.
+  // Lists the backend in the state `first` for half of the duration, then as gone, and finally as ready
+  // again.
   void RemoveBackend(const ScheduledEvent& event, ListState first) {
     discovery_->SetState(event.target, first);
     Sleep(event.duration_s / 2);
@@ -204,7 +206,7 @@
     discovery_->SetState(event.target, ListState::kReady);
   }
 
-  void FillPlaces(size_t gateway) {
+  void ExhaustConnections(size_t gateway) {
     for (int i = 0; i < deployment_.idle_clients; ++i) {
       auto idle = Connection::Connect(gateways_[gateway]->View().port);
       std::lock_guard lock(idle_mutex_);
@@ -220,9 +222,9 @@
   std::vector<std::unique_ptr<BackendStandIn>> backends_;
   std::unique_ptr<DiscoveryStandIn> discovery_;
   CounterStandIn counter_;
-  nlohmann::json known_;
+  nlohmann::json cached_list_;
   Gateways gateways_;
-  std::atomic<int> address_{0};  // of the two of discovery and the counter
+  std::atomic<int> address_index_{0};  // which of the two addresses of discovery and the counter is used
   std::mutex silence_mutex_;
   std::mutex idle_mutex_;
   std::vector<std::unique_ptr<Connection>> idle_clients_;
@@ -230,7 +232,7 @@
 
 }  // namespace
 
-SoakResult RunSoak(const SoakOptions& options, uint64_t seed) { return Play(options, seed).Run(); }
+SoakResult RunSoak(const SoakOptions& options, uint64_t seed) { return SoakRun(options, seed).Run(); }
 
 void RunSoaks(const SoakOptions& options, const std::function<bool()>& stopped,
               const std::function<void(const SoakResult&)>& on_result) {
--- a/lab/soak/soak.h
+++ b/lab/soak/soak.h
@@ -1,5 +1,5 @@
-// Plays deployments of real gateway processes on loopback, with failures at moments that a seed chooses, and
-// checks the operators' rules for every request.
+// Runs deployments of real gateway processes on loopback, injects failures at times that depend on a seed,
+// and checks the operators' rules for every request.
 #ifndef GATEWAY_LAB_SOAK_SOAK_H_
 #define GATEWAY_LAB_SOAK_SOAK_H_
 
@@ -14,12 +14,12 @@
 namespace gateway::lab::soak {
 
 struct SoakOptions {
-  std::string program;  // path of the gateway
+  std::string program;  // path of the gateway's executable
   uint64_t first_seed = 1;
   int seeds = 1;
   double duration_s = 20;
-  int jobs = 1;               // seeds that are played at the same time
-  std::string log_directory;  // of the gateways' logs; empty: they are dropped
+  int jobs = 1;               // number of seeds that run at the same time
+  std::string log_directory;  // directory for the gateways' logs, which are discarded if it is empty
 };
 
 struct SoakResult {
@@ -29,21 +29,22 @@
   std::vector<Violation> violations;
 };
 
-// Plays one seed. The schedule is the same each time; what real sockets and threads add is not. Throws
-// std::runtime_error where the machine has no port or file left.
+// Runs the soak of one seed. The schedule is the same in each run, but the timing of sockets and threads is
+// not. Throws std::runtime_error if the machine has no free port or cannot create a file.
 SoakResult RunSoak(const SoakOptions& options, uint64_t seed);
 
-// Plays the seeds, `jobs` at a time, until all are played or `stopped` says so. `on_result` is called for
-// each as it ends, from one thread at a time.
+// Runs the seeds, `jobs` at a time, until all have run or `stopped` returns true. Calls `on_result` at the
+// end of each seed; the calls do not overlap.
 void RunSoaks(const SoakOptions& options, const std::function<bool()>& stopped,
               const std::function<void(const SoakResult&)>& on_result);
 
-// One line on what was played.
+// Returns a summary of a soak in one line.
 std::string Summarize(const SoakResult& result);
-// A break with the history of its request, the events around it, and the command that plays its seed again.
+// Returns a violation with the history of its request, the events around it, and the command that repeats the
+// run of its seed.
 std::string DescribeViolation(const SoakOptions& options, const SoakResult& result,
                               const Violation& violation);
-// Both of these for scripts, as JSON.
+// Returns the results and their violations as JSON, for scripts.
 std::string ToJson(const std::vector<SoakResult>& results);
 
 }  // namespace gateway::lab::soak
--- a/lab/soak/stand_ins.cpp
+++ b/lab/soak/stand_ins.cpp
@@ -12,15 +12,15 @@
 
 using nlohmann::json;
 
-// Longer than any request lives: whoever waits for so long has been left.
-constexpr double kForgottenS = 120;
+// Longer than any request lasts. A connection that is idle for this time has been abandoned.
+constexpr double kIdleTimeoutS = 120;
 
 std::string Response(const std::string& status, const std::string& fields, const std::string& body) {
   return "HTTP/1.1 " + status + "\r\n" + fields + "Content-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-// The number that follows `name` in a request's head; below zero where there is none.
+// Returns the number that follows `name` in the head of a request, or -1 if `name` does not occur.
 long QueryNumber(const std::string& head, const std::string& name) {
   size_t at = head.find(name);
   return at == std::string::npos ? -1 : std::atol(head.c_str() + at + name.size());
@@ -28,17 +28,17 @@
 
 constexpr double kMaxServiceS = 0.15;
 
-// How an attempt ends; kOpen for one that hangs.
-AttemptEnd DrawEnd(double draw) {
-  constexpr double kHangs = 0.02;
-  constexpr double kResets = 0.05;
-  constexpr double kFails = 0.06;
-  constexpr double kNotStarted = 0.08;
-  if (draw < kHangs) return AttemptEnd::kOpen;
-  if (draw < kResets) return AttemptEnd::kReset;
-  if (draw < kFails) return AttemptEnd::kError;
-  if (draw < kNotStarted) return AttemptEnd::kNotStarted;
-  return AttemptEnd::kAnswered;
+// Draws the outcome of an attempt from a number in [0, 1). Returns kOpen for an attempt that hangs.
+AttemptOutcome DrawOutcome(double draw) {
+  constexpr double kHangsBelow = 0.02;
+  constexpr double kResetsBelow = 0.05;
+  constexpr double kFailsBelow = 0.06;
+  constexpr double kNotStartedBelow = 0.08;
+  if (draw < kHangsBelow) return AttemptOutcome::kOpen;
+  if (draw < kResetsBelow) return AttemptOutcome::kReset;
+  if (draw < kFailsBelow) return AttemptOutcome::kError;
+  if (draw < kNotStartedBelow) return AttemptOutcome::kNotStarted;
+  return AttemptOutcome::kAnswered;
 }
 
 }  // namespace
@@ -82,7 +82,7 @@
 void DiscoveryStandIn::RecordNotice(int backend) {
   Entry& entry = entries_[static_cast<size_t>(backend)];
   entry.notice_due = false;
-  entry.notice = history_->AddNotice({backend, history_->Now(), kForgottenS});
+  entry.notice = history_->AddNotice({backend, history_->Now(), kIdleTimeoutS});
 }
 
 void DiscoveryStandIn::SetSilent(bool silent) {
@@ -101,7 +101,7 @@
 
 void DiscoveryStandIn::Serve(Connection& connection) {
   Message request;
-  while (connection.ReadMessage(kForgottenS, &request) == ReadResult::kMessage) {
+  while (connection.ReadMessage(kIdleTimeoutS, &request) == ReadResult::kMessage) {
     long after = QueryNumber(request.head, "after=");
     double wait_s = static_cast<double>(QueryNumber(request.head, "wait_ms=")) / 1000;
     std::string reply = AwaitReply(after, wait_s);
@@ -135,7 +135,7 @@
           {"since_ms", 0}};
 }
 
-// The full list, or what changed after an index.
+// Returns the full list if `after` is negative, and otherwise the changes after that index.
 json DiscoveryStandIn::List(long after) const {
   bool full = after < 0;
   json endpoints = json::array();
@@ -161,14 +161,15 @@
   return totals_[key] += amount;
 }
 
-// A call is a RESP2 array: *4, then the length and the text of TALLY, the key, the amount and the expiry.
+// A call is a RESP2 array of four elements: TALLY, the key, the amount and the expiry. It arrives in nine
+// lines, which are "*4" and, for each element, its length and its text.
 void CounterStandIn::Serve(Connection& connection) {
   constexpr int kLinesOfACall = 9;
   constexpr int kKeyLine = 4;
   constexpr int kAmountLine = 6;
   std::vector<std::string> lines;
   std::string line;
-  while (connection.ReadLine(kForgottenS, &line) == ReadResult::kMessage) {
+  while (connection.ReadLine(kIdleTimeoutS, &line) == ReadResult::kMessage) {
     lines.push_back(line);
     if (lines.size() < kLinesOfACall) continue;
     while (silent_) std::this_thread::sleep_for(std::chrono::milliseconds(5));
@@ -187,45 +188,45 @@
       server_([this](Connection& connection) { Serve(connection); }) {}
 
 void BackendStandIn::Serve(Connection& connection) {
-  while (ServeOne(connection)) {
+  while (ServeRequest(connection)) {
   }
 }
 
-bool BackendStandIn::ServeOne(Connection& connection) {
-  if (!connection.HasBytes() && !connection.WaitForInput(kForgottenS)) return false;
+bool BackendStandIn::ServeRequest(Connection& connection) {
+  if (!connection.HasBytes() && !connection.WaitForInput(kIdleTimeoutS)) return false;
   AttemptRecord attempt;
   attempt.first_byte_s = history_->Now();
   Message request;
-  if (connection.ReadMessage(kForgottenS, &request) != ReadResult::kMessage) return false;
+  if (connection.ReadMessage(kIdleTimeoutS, &request) != ReadResult::kMessage) return false;
   attempt.request_id = request.Field("Request-Id");
   attempt.backend = number_;
-  attempt.begun_s = history_->Now();
-  attempt.told_timeout_s = std::atof(request.Field("Request-Timeout-Ms").c_str()) / 1000;
+  attempt.received_s = history_->Now();
+  attempt.forwarded_timeout_s = std::atof(request.Field("Request-Timeout-Ms").c_str()) / 1000;
   size_t index = history_->AddAttempt(attempt);
   uint64_t id = std::strtoull(attempt.request_id.c_str(), nullptr, 16);
   Random random(policy::MixBits(seed_ ^ id) + attempts_++);
-  return Answer(connection, index, DrawEnd(random.Uniform()),
+  return Answer(connection, index, DrawOutcome(random.Uniform()),
                 kMaxServiceS * random.Uniform() * random.Uniform());
 }
 
-// The end is recorded before it is sent: what the gateway does next may come before this thread goes on.
-bool BackendStandIn::Answer(Connection& connection, size_t index, AttemptEnd end, double service_s) {
+// Records the outcome before it is sent, since the gateway may act on it before this thread continues.
+bool BackendStandIn::Answer(Connection& connection, size_t index, AttemptOutcome outcome, double service_s) {
   constexpr double kHangS = 4;
-  bool hangs = hanging_ || end == AttemptEnd::kOpen;
-  if (connection.WaitForInput(hangs ? kHangS : service_s)) end = AttemptEnd::kGivenUp;
-  if (end == AttemptEnd::kOpen) end = AttemptEnd::kReset;
-  history_->EndAttempt(index, end);
-  switch (end) {
-    case AttemptEnd::kAnswered: return connection.Send(Response("200 OK", "", "ok"));
-    case AttemptEnd::kError: return connection.Send(Response("500 Internal Server Error", "", ""));
-    case AttemptEnd::kNotStarted:
+  bool hangs = hanging_ || outcome == AttemptOutcome::kOpen;
+  if (connection.WaitForInput(hangs ? kHangS : service_s)) outcome = AttemptOutcome::kClosedByGateway;
+  if (outcome == AttemptOutcome::kOpen) outcome = AttemptOutcome::kReset;
+  history_->EndAttempt(index, outcome);
+  switch (outcome) {
+    case AttemptOutcome::kAnswered: return connection.Send(Response("200 OK", "", "ok"));
+    case AttemptOutcome::kError: return connection.Send(Response("500 Internal Server Error", "", ""));
+    case AttemptOutcome::kNotStarted:
       return connection.Send(Response("503 Service Unavailable", "Not-Started: 1\r\n", ""));
-    case AttemptEnd::kReset:
+    case AttemptOutcome::kReset:
       if (service_s > kMaxServiceS / 4) connection.Send("HTTP/1.1 200 OK\r\nContent-Le");
       connection.Reset();
       return false;
-    case AttemptEnd::kOpen:
-    case AttemptEnd::kGivenUp: return false;
+    case AttemptOutcome::kOpen:
+    case AttemptOutcome::kClosedByGateway: return false;
   }
   return false;
 }
--- a/lab/soak/stand_ins.h
+++ b/lab/soak/stand_ins.h
@@ -1,4 +1,4 @@
-// What a gateway talks to in a soak, each a stand-in of the lab's own: discovery's agent, the counter, and
+// Stand-ins for the services that a gateway uses in a soak: the discovery agent, the counter and the
 // backends.
 #ifndef GATEWAY_LAB_SOAK_STAND_INS_H_
 #define GATEWAY_LAB_SOAK_STAND_INS_H_
@@ -20,16 +20,16 @@
 
 enum class ListState { kReady, kDraining, kGone };
 
-// The endpoint list and its agent, on two ports, either of which a gateway may be configured with. A notice
-// is recorded from when a change is listed and the agent can be reached.
+// Serves the endpoint list as the discovery agent does, on two ports. A gateway may be configured with either
+// port. A notice is recorded once a change is listed and the agent is not silent.
 class DiscoveryStandIn {
  public:
-  // `ports`: of the backends.
+  // `ports` holds the ports of the backends.
   DiscoveryStandIn(History* history, const std::vector<int>& ports);
   ~DiscoveryStandIn();
 
   int port(int which) const { return which == 0 ? first_.port() : second_.port(); }
-  // In discovery's form.
+  // Returns the endpoint list in the format of discovery.
   nlohmann::json FullList();
 
   void SetState(int backend, ListState state);
@@ -41,8 +41,8 @@
     int port = 0;
     ListState state = ListState::kReady;
     uint64_t changed_at_index = 1;
-    std::optional<size_t> notice;  // of History
-    bool notice_due = false;       // changed while the agent is silent
+    std::optional<size_t> notice;  // index of the notice in History
+    bool notice_due = false;       // a notice has to be recorded once the agent is not silent
   };
 
   void Serve(Connection& connection);
@@ -62,7 +62,7 @@
   Server second_;
 };
 
-// The counter service, on two ports.
+// Stands in for the counter service, on two ports.
 class CounterStandIn {
  public:
   CounterStandIn();
@@ -83,8 +83,8 @@
   Server second_;
 };
 
-// A backend that answers, fails, hangs or resets by a draw from the seed, the request's id and the number of
-// the attempt.
+// A backend that answers, fails, hangs or resets the connection. The outcome is drawn from the seed, the
+// request id and the number of attempts that the backend has received.
 class BackendStandIn {
  public:
   BackendStandIn(History* history, int number, uint64_t seed);
@@ -95,8 +95,8 @@
 
  private:
   void Serve(Connection& connection);
-  bool ServeOne(Connection& connection);
-  bool Answer(Connection& connection, size_t index, AttemptEnd end, double service_s);
+  bool ServeRequest(Connection& connection);
+  bool Answer(Connection& connection, size_t index, AttemptOutcome outcome, double service_s);
 
   History* const history_;
   const int number_;
--- a/lab/soak/supervised_gateway.cpp
+++ b/lab/soak/supervised_gateway.cpp
@@ -15,10 +15,10 @@
 namespace gateway::lab::soak {
 namespace {
 
-constexpr double kReadyLimitS = 10;
-constexpr double kPollS = 0.005;
+constexpr double kReadyTimeoutS = 10;
+constexpr double kPollIntervalS = 0.005;
 constexpr double kSignalIntervalS = 0.001;
-constexpr double kArrivalsS = 0.3;  // in which new connections go on coming after SIGTERM
+constexpr double kNewConnectionsAfterTermS = 0.3;  // how long clients still connect after SIGTERM
 
 void Sleep(double duration_s) { std::this_thread::sleep_for(std::chrono::duration<double>(duration_s)); }
 
@@ -34,13 +34,13 @@
 SupervisedGateway::SupervisedGateway(History* history, Options options)
     : history_(history), options_(std::move(options)) {}
 
-void SupervisedGateway::Start(const nlohmann::json& known) {
+void SupervisedGateway::Start(const nlohmann::json& cached_list) {
   StartRecord start{options_.number, history_->Now(), -1};
   {
     std::lock_guard lock(mutex_);
-    known_ = known;
+    cached_list_ = cached_list;
     configuration_ = std::make_unique<TemporaryFile>(
-        MakeConfiguration(options_.deployment, options_.addresses, known_).dump());
+        MakeConfiguration(options_.deployment, options_.addresses, cached_list_).dump());
     process_ = std::make_unique<ChildProcess>(options_.program, "LB_CONFIG", configuration_->path(),
                                               options_.log_path);
   }
@@ -50,10 +50,10 @@
 }
 
 bool SupervisedGateway::AwaitReady() {
-  double end_s = history_->Now() + kReadyLimitS;
+  double end_s = history_->Now() + kReadyTimeoutS;
   while (history_->Now() < end_s) {
     if (AnswersReady(options_.addresses.listen_port)) return true;
-    Sleep(kPollS);
+    Sleep(kPollIntervalS);
   }
   return false;
 }
@@ -63,13 +63,13 @@
   if (process_ != nullptr) process_->Signal(signal);
 }
 
-void SupervisedGateway::Hold(double duration_s) {
-  HoldRecord hold{options_.number, history_->Now(), 0};
+void SupervisedGateway::Pause(double duration_s) {
+  PauseRecord pause{options_.number, history_->Now(), 0};
   Signal(SIGSTOP);
   Sleep(duration_s);
   Signal(SIGCONT);
-  hold.to_s = history_->Now();
-  history_->AddHold(hold);
+  pause.to_s = history_->Now();
+  history_->AddPause(pause);
 }
 
 bool SupervisedGateway::AwaitExit(double timeout_s) {
@@ -79,7 +79,7 @@
       std::lock_guard lock(mutex_);
       if (process_->ExitStatus().has_value()) return true;
     }
-    Sleep(kPollS);
+    Sleep(kPollIntervalS);
   }
   return false;
 }
@@ -91,23 +91,23 @@
   process_.reset();
 }
 
-void SupervisedGateway::Kill(const nlohmann::json& known) {
-  if (busy_.exchange(true)) return;
+void SupervisedGateway::Kill(const nlohmann::json& cached_list) {
+  if (restarting_.exchange(true)) return;
   in_service_ = false;
   ++kills_;
   Signal(SIGKILL);
   EndProcess(true);
-  Start(known);
-  busy_ = false;
+  Start(cached_list);
+  restarting_ = false;
 }
 
-void SupervisedGateway::Restart(const nlohmann::json& known, uint64_t draw) {
-  if (busy_.exchange(true)) return;
+void SupervisedGateway::Restart(const nlohmann::json& cached_list, uint64_t draw) {
+  if (restarting_.exchange(true)) return;
   Random random(draw);
   double again_after_s = random.Between(0, 0.4);
   if (random.Uniform() < 0.3) Signal(SIGHUP);
   std::atomic<bool> ended{false};
-  // One signal after another, as an operator's tools send them until the process has gone.
+  // The signals are repeated in the way an operator's tools repeat them until the process has ended.
   std::thread signals([&, in_series = random.Uniform() < 0.5] {
     Sleep(again_after_s);
     Signal(SIGTERM);
@@ -120,15 +120,15 @@
   Terminate();
   ended = true;
   signals.join();
-  Start(known);
-  busy_ = false;
+  Start(cached_list);
+  restarting_ = false;
 }
 
 void SupervisedGateway::Terminate() {
   Signal(SIGTERM);
-  Sleep(kArrivalsS);
+  Sleep(kNewConnectionsAfterTermS);
   in_service_ = false;
-  bool ended = AwaitExit(options_.deployment.KillAfterS() - kArrivalsS);
+  bool ended = AwaitExit(options_.deployment.KillAfterS() - kNewConnectionsAfterTermS);
   if (!ended) {
     ++kills_;
     Signal(SIGKILL);
@@ -143,10 +143,10 @@
     options_.addresses.counter_port = counter_port;
     if (configuration_ == nullptr) return;
     std::string fresh = configuration_->path() + ".new";
-    std::ofstream(fresh) << MakeConfiguration(options_.deployment, options_.addresses, known_).dump();
+    std::ofstream(fresh) << MakeConfiguration(options_.deployment, options_.addresses, cached_list_).dump();
     std::filesystem::rename(fresh, configuration_->path());
   }
-  // Between a process's start and its first lines a signal has its default action, which ends it.
+  // Until a new process installs its handlers, SIGHUP has its default action and would end the process.
   if (!in_service_) return;
   for (int i = 0; i < times; ++i) Signal(SIGHUP);
 }
--- a/lab/soak/supervised_gateway.h
+++ b/lab/soak/supervised_gateway.h
@@ -1,4 +1,4 @@
-// A real gateway process in a soak, and what its supervisor does to it.
+// A real gateway process in a soak and the actions of its supervisor.
 #ifndef GATEWAY_LAB_SOAK_SUPERVISED_GATEWAY_H_
 #define GATEWAY_LAB_SOAK_SUPERVISED_GATEWAY_H_
 
@@ -15,14 +15,15 @@
 
 namespace gateway::lab::soak {
 
-// What clients know of a gateway.
+// The state of a gateway as its clients know it.
 struct GatewayView {
   int port = 0;
-  bool in_service = false;  // ready, and not told to end
-  int kills = 0;            // so far; counted before the signal is sent
+  bool in_service = false;  // the gateway accepts new clients
+  int kills = 0;            // number of SIGKILLs so far, each counted before it is sent
 };
 
-// Thread-safe. A gateway that is being restarted is not restarted or killed by another event meanwhile.
+// Runs and restarts one gateway process. Thread-safe. Kill() and Restart() do nothing while another call of
+// either is in progress.
 class SupervisedGateway {
  public:
   struct Options {
@@ -35,16 +36,18 @@
 
   SupervisedGateway(History* history, Options options);
 
-  // Starts the process with this endpoint list and waits until it is ready, or for the limit.
-  void Start(const nlohmann::json& known);
-  void Hold(double duration_s);
+  // Starts the process with this endpoint list and waits until it is ready, but no longer than 10 s.
+  void Start(const nlohmann::json& cached_list);
+  // Stops the process by SIGSTOP and continues it after `duration_s`.
+  void Pause(double duration_s);
   // Kills the process and starts it again.
-  void Kill(const nlohmann::json& known);
-  // SIGTERM, again after a while, sometimes SIGHUP, and SIGKILL at the earliest; then starts it again.
-  void Restart(const nlohmann::json& known, uint64_t draw);
-  // SIGTERM; waits for its end, with SIGKILL at the earliest.
+  void Kill(const nlohmann::json& cached_list);
+  // Sends SIGTERM, repeats it after a while, sends one or two SIGHUPs, sends SIGKILL at the earliest time
+  // allowed if the process still runs, and starts it again. `draw` seeds the random choices.
+  void Restart(const nlohmann::json& cached_list, uint64_t draw);
+  // Sends SIGTERM and waits for the process to end. Sends SIGKILL at the earliest time allowed.
   void Terminate();
-  // Replaces the configuration and sends SIGHUP `times` times.
+  // Replaces the configuration file and, if the gateway is in service, sends SIGHUP `times` times.
   void Reload(int discovery_port, int counter_port, int times);
 
   GatewayView View() const;
@@ -59,13 +62,13 @@
 
   History* const history_;
   Options options_;
-  std::mutex mutex_;  // of the process and its configuration
-  nlohmann::json known_;
+  std::mutex mutex_;  // protects the process and its configuration
+  nlohmann::json cached_list_;
   std::unique_ptr<TemporaryFile> configuration_;
   std::unique_ptr<ChildProcess> process_;
   std::atomic<bool> in_service_{false};
   std::atomic<int> kills_{0};
-  std::atomic<bool> busy_{false};  // being killed or restarted
+  std::atomic<bool> restarting_{false};  // Kill() or Restart() is in progress
 };
 
 }  // namespace gateway::lab::soak
--- a/tests/lab/soak_schedule_test.cpp
+++ b/tests/lab/soak_schedule_test.cpp
@@ -17,22 +17,22 @@
   return text;
 }
 
-// A break can be played again only if its seed brings the same events at the same moments.
+// A violation can be reproduced only if its seed gives the same events at the same times.
 TEST(SoakSchedule, IsTheSameForTheSameSeed) {
   EXPECT_EQ(DescribeAll(7), DescribeAll(7));
   EXPECT_NE(DescribeAll(7), DescribeAll(8));
 }
 
-// Failures of one part show where they cross those of another.
-TEST(SoakSchedule, LetsEventsCross) {
+// Some faults of the gateway show only while the effects of several failures overlap.
+TEST(SoakSchedule, LetsEventsOverlap) {
   Random random(1);
   Deployment deployment = DrawDeployment(&random);
   std::vector<ScheduledEvent> schedule = DrawSchedule(deployment, 200, &random);
-  int crossings = 0;
+  int overlaps = 0;
   for (size_t i = 1; i < schedule.size(); ++i) {
-    crossings += schedule[i].at_s - schedule[i - 1].at_s < 0.3 ? 1 : 0;
+    overlaps += schedule[i].at_s - schedule[i - 1].at_s < 0.3 ? 1 : 0;
   }
-  EXPECT_GT(crossings, static_cast<int>(schedule.size()) / 3);
+  EXPECT_GT(overlaps, static_cast<int>(schedule.size()) / 3);
 }
 
 }  // namespace
