--- a/lab/soak/checks.h
+++ b/lab/soak/checks.h
@@ -23,8 +23,8 @@
   kClientLeft,
   // No attempt begins at a backend whose drain grace is over.
   kDrain,
-  // A non-idempotent request is sent again only if it certainly was not executed, and a request with an
-  // idempotency key otherwise only within its deduplication window.
+  // A non-idempotent request is sent again only if it certainly was not executed. A request with an
+  // idempotency key may also be sent again within its deduplication window.
   kRunOnce,
   // The timeout that is forwarded to a backend is at most the time left to the client, plus 0.15 s of slack.
   kForwardedTimeout,
--- a/lab/soak/client.cpp
+++ b/lab/soak/client.cpp
@@ -166,11 +166,11 @@
     double end_s = history_->Now() + 1;
     while (!EnsureConnected() && history_->Now() < end_s) Sleep(kRetryConnectS);
     if (connection_ == nullptr) return;
-    SentRequest again = request;
-    again.record = history_->AddResend(request.record, gateway_);
-    connection_->Send(again.text);
-    history_->MarkSent(again.record);
-    if (!AwaitAnswer(again)) connection_.reset();
+    SentRequest resent = request;
+    resent.record = history_->AddResend(request.record, gateway_);
+    connection_->Send(resent.text);
+    history_->MarkSent(resent.record);
+    if (!AwaitAnswer(resent)) connection_.reset();
   }
 }
 
--- a/lab/soak/history.cpp
+++ b/lab/soak/history.cpp
@@ -6,11 +6,11 @@
 
 size_t History::AddResend(size_t index, int gateway) {
   std::lock_guard lock(mutex_);
-  RequestRecord again = data_.requests[index];
-  again.gateway = gateway;
-  again.is_resend = true;
-  again.outcome = RequestOutcome::kPending;
-  data_.requests.push_back(again);
+  RequestRecord resent = data_.requests[index];
+  resent.gateway = gateway;
+  resent.is_resend = true;
+  resent.outcome = RequestOutcome::kPending;
+  data_.requests.push_back(resent);
   return data_.requests.size() - 1;
 }
 
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -125,7 +125,7 @@
       int open = gateways_[i]->OpenDescriptors();
       if (open <= kMaxIdleDescriptors) continue;
       history_.AddLeak("gateway " + std::to_string(i) + " holds " + std::to_string(open) +
-                       " descriptors at rest");
+                       " descriptors while idle");
     }
   }
 
--- a/lab/soak/stand_ins.cpp
+++ b/lab/soak/stand_ins.cpp
@@ -109,12 +109,13 @@
   }
 }
 
-// Empty where the soak ends.
+// Waits until the list changes after the index `after`, up to `wait_s`, and returns the response. A silent
+// agent responds only when its silence ends. Returns an empty string if the soak ends.
 std::string DiscoveryStandIn::AwaitReply(long after, double wait_s) {
   std::unique_lock lock(mutex_);
-  auto has_news = [&] { return stopping_ || (!silent_ && static_cast<long>(index_) > after); };
+  auto has_changes = [&] { return stopping_ || (!silent_ && static_cast<long>(index_) > after); };
   auto wait = std::chrono::duration<double>(std::max(0.0, wait_s));
-  changed_.wait_for(lock, wait, has_news);
+  changed_.wait_for(lock, wait, has_changes);
   changed_.wait(lock, [&] { return stopping_ || !silent_; });
   if (stopping_) return "";
   return Response("200 OK", "", List(after).dump());
--- a/lab/soak/supervised_gateway.cpp
+++ b/lab/soak/supervised_gateway.cpp
@@ -104,12 +104,12 @@
 void SupervisedGateway::Restart(const nlohmann::json& cached_list, uint64_t draw) {
   if (restarting_.exchange(true)) return;
   Random random(draw);
-  double again_after_s = random.Between(0, 0.4);
+  double repeat_after_s = random.Between(0, 0.4);
   if (random.Uniform() < 0.3) Signal(SIGHUP);
   std::atomic<bool> ended{false};
   // The signals are repeated in the way an operator's tools repeat them until the process has ended.
   std::thread signals([&, in_series = random.Uniform() < 0.5] {
-    Sleep(again_after_s);
+    Sleep(repeat_after_s);
     Signal(SIGTERM);
     Signal(SIGHUP);
     while (in_series && !ended) {
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -30,7 +30,8 @@
   DeploymentSettings deployment;
 };
 
-// Throws ConfigError on the first key that is missing or unreadable.
+// Parses the content of a configuration file. Throws ConfigError on the first key that is missing or has an
+// invalid value.
 GatewayConfig ParseGatewayConfig(const std::string& text);
 
 // Reads and parses a configuration file. Throws ConfigError also if the file cannot be read.
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -49,6 +49,8 @@
   // Returns null for an instance that has not started or has stopped. Events for such an instance may still
   // arrive and are ignored.
   policy::AdmissionPolicy* FindPolicy(uint32_t instance);
+  // Returns the table that the update refers to, or an empty list for a failed update. Throws FrameError if
+  // the table was never sent.
   const std::vector<policy::Endpoint>& FindEndpoints(const EndpointUpdate& update) const;
 
   std::array<std::optional<std::vector<policy::Endpoint>>, kEndpointTableCount> tables_;
--- a/src/simulator/wire_protocol.h
+++ b/src/simulator/wire_protocol.h
@@ -1,6 +1,5 @@
 // Codes and sizes of the simulator's wire protocol (WIRE, sections 3 to 9). The comment beside each code
-// gives its name in the protocol. frame_reader and frame_writer map the fields of the protocol in the same
-// way.
+// gives its name in the protocol. frame_reader and frame_writer translate the names of the fields.
 #ifndef GATEWAY_SIMULATOR_WIRE_PROTOCOL_H_
 #define GATEWAY_SIMULATOR_WIRE_PROTOCOL_H_
 
--- a/tests/lab/soak_checks_test.cpp
+++ b/tests/lab/soak_checks_test.cpp
@@ -150,7 +150,7 @@
   start.starts[0].ready_s = -1;
   ExpectViolation(Rule::kReady, start);
   HistoryData leak = ValidHistory();
-  leak.leaks.push_back({20, "gateway 0 holds 100 descriptors at rest"});
+  leak.leaks.push_back({20, "gateway 0 holds 100 descriptors while idle"});
   ExpectViolation(Rule::kDescriptors, leak);
 }
 
