--- a/src/main.cpp
+++ b/src/main.cpp
@@ -100,7 +100,7 @@
   net::Gateway gateway(io, config, log);
   AwaitShutdown(&shutdown_signals, &gateway, log);
   AwaitReloads(&reload_signals, file_name, &gateway, log);
-  LogListening(config, gateway.local(), log);
+  LogListening(config, gateway.local_endpoint(), log);
   io.run();
 }
 
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -41,7 +41,7 @@
 
   // Throws boost::system::system_error where the address cannot be listened on.
   void Listen(const tcp::endpoint& address);
-  tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
   // Answers the request of a connection; no-op where that has ended.
   void Reply(uint64_t connection, Response response);
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -38,7 +38,7 @@
   Gateway(asio::io_context& io, const config::GatewayConfig& config, Log* log);
   ~Gateway();
 
-  tcp::endpoint local() const { return server_.local(); }
+  tcp::endpoint local_endpoint() const { return server_.local_endpoint(); }
 
   // Begins a graceful shutdown; at its end `io` is stopped.
   void Shutdown();
--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -28,7 +28,9 @@
             [this](uint64_t, bool request_pending) { clients_left += request_pending; }, request_timeout) {
     server.Listen(LoopbackEndpoint(0));
   }
-  std::unique_ptr<TestConnection> Connect() { return TestConnection::ConnectTo(server.local().port()); }
+  std::unique_ptr<TestConnection> Connect() {
+    return TestConnection::ConnectTo(server.local_endpoint().port());
+  }
   void Reply(size_t request, std::string body) {
     Response response;
     response.status = 200;
