--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -21,14 +21,15 @@
 
 namespace {
 
-// Part of a client's time that is kept back, so that the last byte of the answer arrives in time: the smaller
-// of the two.
+// Part of the client's time-out that is reserved, so that the last byte of the response arrives in time. The
+// smaller of the two applies.
 constexpr double kAnswerMarginS = 0.01;
 constexpr double kAnswerMarginFraction = 0.1;
 
-// Multiple of the counter's time-out in the settings. The counter answers each call when its turn has come,
-// however late. A late total is still worth having: of a call that timed out, the amount may have been added,
-// and would be taken for other gateways' use.
+// How long to wait for a reply of the counter, as a multiple of the counter time-out in the settings. The
+// counter answers its calls in order, however late. A late total is still needed: the counter may have added
+// the amount of a call that timed out, and without the reply the policy would attribute that amount to other
+// gateways.
 constexpr double kCounterTimeoutMultiple = 3;
 
 EndpointList ParseCachedList(const config::GatewayConfig& config, EndpointIds* ids) {
@@ -40,7 +41,7 @@
   }
 }
 
-double LongestDeadline(const config::GatewayConfig& config) {
+double LongestDeadlineS(const config::GatewayConfig& config) {
   double longest_s = 0;
   for (const auto& class_settings : config.settings.classes) {
     longest_s = std::max(longest_s, class_settings.deadline_s);
@@ -48,8 +49,8 @@
   return longest_s;
 }
 
-// Seconds of the system's clock at the monotonic clock's zero.
-double ClockOffset() {
+// The system time, in seconds, at the zero of the monotonic clock.
+double ClockOffsetS() {
   std::chrono::duration<double> system = std::chrono::system_clock::now().time_since_epoch();
   return system.count() - ToSeconds(Clock::now().time_since_epoch());
 }
@@ -66,7 +67,7 @@
     : io_(io),
       config_(config),
       log_(*log),
-      clock_offset_s_(ClockOffset()),
+      clock_offset_s_(ClockOffsetS()),
       pool_(io, config.deployment.connection_idle_s, config.deployment.connect_timeout_s,
             config.deployment.drain_grace_s, MaxBackendConnections(config)),
       membership_(pool_),
@@ -80,12 +81,12 @@
           io, config.discovery_address, config.deployment, &endpoint_ids_,
           [this](const EndpointList& list) {
             OnEndpointList(list, list.full ? EndpointUpdateKind::kFull : EndpointUpdateKind::kDelta);
-            BecomeReady();
+            MarkReady();
           },
           [this] { OnDiscoveryFailed(); }, log),
       timers_(io, this),
       event_loop_monitor_(&timers_, log),
-      shutdown_(io, server_, requests_, LongestDeadline(config)),
+      shutdown_(io, server_, requests_, LongestDeadlineS(config)),
       rejection_log_(io, log) {
   if (config.counter_address) {
     counter_.emplace(io, *config.counter_address, kCounterTimeoutMultiple * config.settings.counter_timeout_s,
@@ -97,7 +98,7 @@
     counter_->Start();
   }
   EndpointList cached = ParseCachedList(config, &endpoint_ids_);
-  policy_.emplace(config.settings, config.seed, PolicyTime(Clock::now()), &actions_);
+  policy_.emplace(config.settings, config.seed, PolicyTimeS(Clock::now()), &actions_);
   cached.notified_at = Clock::now();
   OnEndpointList(cached, EndpointUpdateKind::kCached);
   server_.Listen(config.listen_address);
@@ -106,31 +107,32 @@
 
 Gateway::~Gateway() { rejection_log_.Flush(); }
 
-std::vector<std::string> Gateway::Reload(const config::GatewayConfig& fresh) {
-  config::CheckSameGateway(config_, fresh);
+std::vector<std::string> Gateway::Reload(const config::GatewayConfig& new_config) {
+  config::CheckSameGateway(config_, new_config);
   EndpointIds unused;
-  ParseCachedList(fresh, &unused);  // for its checks
-  discovery_.SwitchTo(fresh.discovery_address);
-  if (counter_ && fresh.counter_address) counter_->SwitchTo(*fresh.counter_address);
-  return config::KeysThatNeedARestart(config_, fresh);
+  ParseCachedList(new_config, &unused);  // only to validate the list
+  discovery_.SwitchTo(new_config.discovery_address);
+  if (counter_ && new_config.counter_address) counter_->SwitchTo(*new_config.counter_address);
+  return config::KeysThatNeedARestart(config_, new_config);
 }
 
 void Gateway::Shutdown() { shutdown_.Start(); }
 
-// Monotonic, and the same at every gateway as far as the machines' clocks agree when they start.
-double Gateway::PolicyTime(Clock::time_point at) const {
+// The policy's time is monotonic. It agrees between gateways as closely as the system clocks of their
+// machines agreed when the gateways started.
+double Gateway::PolicyTimeS(Clock::time_point at) const {
   return clock_offset_s_ + ToSeconds(at.time_since_epoch());
 }
 
-// Executes the actions after the policy has returned. No action calls the policy: what it causes comes as an
-// event of its own. Guards against re-entry, which would run actions of an inner call before those of the
-// outer one. The one exception is the start, where PollDiscovery may report a failure at once; nothing
-// follows it.
+// Calls the policy with one event and executes the actions after the policy has returned. No action calls the
+// policy: its consequences arrive as separate events. This prevents re-entry, which would execute the actions
+// of an inner call before those of the outer call. The only exception is at the start, when PollDiscovery may
+// report a failure immediately; no action follows it.
 template <typename Event>
 void Gateway::NotifyPolicy(Event event) {
   Clock::time_point now = Clock::now();
   CheckForStall(now);
-  event(*policy_, PolicyTime(now), &actions_);
+  event(*policy_, PolicyTimeS(now), &actions_);
   executing_actions_.swap(actions_);
   for (const policy::Action& action : executing_actions_) {
     std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
@@ -139,7 +141,7 @@
   if (!requests_.empty()) event_loop_monitor_.WakeUpSoon(now);
 }
 
-// The policy hears of it before the events that were read late because of it.
+// Reports a stall to the policy before the events that were read late because of the stall.
 void Gateway::CheckForStall(Clock::time_point now) {
   Clock::duration stall = event_loop_monitor_.TakeStall(now);
   if (stall > Clock::duration::zero()) policy_->OnStall(ToSeconds(stall));
@@ -153,18 +155,19 @@
   double left_s = ToSeconds(request->deadline - Clock::now());
   double timeout_s = action.timeout_s == 0 ? left_s : std::min(action.timeout_s, left_s);
   bool may_forward = MayForward(*request, id, timeout_s);
-  // In flight until its outcome is reported, also where it is not sent.
+  // The attempt is in flight until its outcome is reported, even if it is not sent.
   request->attempts.push_back({action.backend_id, 0, true});
   if (!may_forward) return PostAttemptEnd(id, attempt, CallResult::kNeverSent);
   request->attempts.back().pool_attempt_id = pool_.Send(
       action.backend_id,
       [this, id](double time_left_s) { return BuildBackendRequest(requests_.At(id), time_left_s); },
-      timeout_s, [this, id, attempt](AttemptResult end) { OnAttemptEnd(id, attempt, std::move(end)); },
+      timeout_s, [this, id, attempt](AttemptResult end) { OnAttemptEnded(id, attempt, std::move(end)); },
       [this, connection = request->connection_id] { return !server_.HasClientLeft(connection); });
 }
 
-// The client is asked after before each attempt, since the event of its leaving may still be queued; but not
-// again within the handler of its request's arrival, which has just done so.
+// Checks the client's socket before each attempt, because the event of its disconnection may still be queued.
+// The check is skipped while the arrival of the request is being handled, since OnClientMessage has just made
+// it.
 bool Gateway::MayForward(const InFlightRequest& request, uint32_t request_id, double timeout_s) {
   if (request.answered || timeout_s <= 0) return false;
   if (request.HasAttemptInFlight() && !config_.settings.hedging_enabled) return false;
@@ -185,7 +188,7 @@
 }
 
 void Gateway::Execute(const policy::RejectRequest& action) {
-  CountEnd(RejectionLog::CauseOf(action.reason), action.request_id);
+  CountEndedRequest(RejectionLog::CauseFor(action.reason), action.request_id);
   bool retry_after = action.retry_after_s > 0;
   Response response =
       StatusResponse(retry_after ? http::status::too_many_requests : http::status::service_unavailable);
@@ -194,7 +197,7 @@
 }
 
 void Gateway::Execute(const policy::FailRequest& action) {
-  CountEnd(RejectionLog::Cause::kFailed, action.request_id);
+  CountEndedRequest(RejectionLog::Cause::kFailed, action.request_id);
   Answer(action.request_id, StatusResponse(http::status::bad_gateway));
 }
 
@@ -220,7 +223,7 @@
   if (target.substr(0, std::string_view(kAdminPathPrefix).size()) == kAdminPathPrefix) {
     return AnswerAdminRequest(connection, target);
   }
-  // The client may have gone long before a busy event loop gets here; the connection's end is read next.
+  // In a busy event loop the client may have disconnected long ago. The end of the connection is read next.
   if (server_.HasClientLeft(connection)) {
     std::string_view id = ToStringView(message[kRequestIdField]);
     return rejection_log_.Count(RejectionLog::Cause::kClientLeft, id, Clock::now());
@@ -233,7 +236,7 @@
     return ReplyStatus(connection, http::status::bad_request);
   }
   if (shutdown_.state() == GracefulShutdown::State::kDraining) {
-    parsed.timeout_s = std::min(parsed.timeout_s, shutdown_.TimeForAnswer());
+    parsed.timeout_s = std::min(parsed.timeout_s, shutdown_.AnswerTimeLeftS());
     if (parsed.timeout_s <= 0) {
       rejection_log_.Count(RejectionLog::Cause::kShutdown, parsed.client_request_id, Clock::now());
       return ReplyStatus(connection, http::status::service_unavailable);
@@ -252,8 +255,9 @@
   server_.Reply(connection, StatusResponse(status));
 }
 
-// A request that has its answer already is not counted.
-void Gateway::CountEnd(RejectionLog::Cause cause, uint32_t request_id) {
+// Counts a request that ends without a backend's response. A request that has already been answered is not
+// counted.
+void Gateway::CountEndedRequest(RejectionLog::Cause cause, uint32_t request_id) {
   const InFlightRequest* request = requests_.Find(request_id);
   if (request == nullptr || request->answered) return;
   rejection_log_.Count(cause, request->client_request_id, Clock::now());
@@ -279,8 +283,8 @@
   arriving_request_id_ = kNoRequest;
 }
 
-// The request's only final answer. Attempts of it that are still in flight keep it in the table until their
-// outcomes are reported.
+// Sends the only final response to the request. Attempts that are still in flight keep the request in the
+// table until their outcomes are reported.
 void Gateway::Answer(uint32_t request_id, Response response) {
   InFlightRequest* request = requests_.Find(request_id);
   if (request == nullptr || request->answered) return;
@@ -295,7 +299,7 @@
   if (!had_unanswered_request) return;
   std::optional<uint32_t> id = requests_.FindUnanswered(connection);
   if (!id) return;
-  CountEnd(RejectionLog::Cause::kClientLeft, *id);
+  CountEndedRequest(RejectionLog::Cause::kClientLeft, *id);
   requests_.MarkAnswered(*id);
   DropUnsentAttempts(*id);
   NotifyPolicy([&](AdmissionPolicy& policy, double now_s, Actions* actions) {
@@ -304,18 +308,18 @@
   requests_.EraseIfComplete(*id);
 }
 
-// Ends an attempt whose end the pool does not report. Posted, so that the policy gets it as an event of its
-// own.
+// Ends an attempt whose end the pool does not report. Posted, so that the policy receives the outcome as a
+// separate event.
 void Gateway::PostAttemptEnd(uint32_t request_id, int attempt, CallResult result) {
   asio::post(io_, [this, request_id, attempt, result] {
     AttemptResult end;
     end.result = result;
-    OnAttemptEnd(request_id, attempt, std::move(end));
+    OnAttemptEnded(request_id, attempt, std::move(end));
   });
 }
 
-// Nobody waits for the request any more: what no backend has received completely goes no further, whether or
-// not the settings allow cancellation. The other attempts are left to the policy.
+// Drops the attempts that no backend has received completely, whether or not the settings allow cancellation,
+// because no client is waiting for them any more. The policy decides about the other attempts.
 void Gateway::DropUnsentAttempts(uint32_t request_id) {
   const InFlightRequest& request = requests_.At(request_id);
   for (size_t i = 0; i < request.attempts.size(); ++i) {
@@ -326,8 +330,9 @@
   }
 }
 
-// Whether a response to the request has come that was not read yet. It is handled before a timer of the
-// request: in a process that was held up both are due at once, and an answer that came in time counts.
+// Whether a response to the request has arrived that has not been read yet. It is handled before a timer of
+// the request: after a stall of the process both are due at once, and a response that arrived in time must be
+// used.
 bool Gateway::HasUnreadResponse(uint32_t request_id) {
   const InFlightRequest* request = requests_.Find(request_id);
   if (request == nullptr || request->answered) return false;
@@ -337,19 +342,20 @@
                      });
 }
 
-void Gateway::OnAttemptEnd(uint32_t request_id, int attempt, AttemptResult end) {
+void Gateway::OnAttemptEnded(uint32_t request_id, int attempt, AttemptResult end) {
   InFlightRequest* request = requests_.Find(request_id);
   if (request == nullptr) return;
   request->attempts[static_cast<size_t>(attempt)].in_flight = false;
-  requests_.BeginOutcome(request_id);
-  // Where the client's leaving is what kept the attempt from being sent, the policy has to hear of it before
-  // the outcome, or it would retry.
+  requests_.BeginOutcomeHandling(request_id);
+  // If the attempt was not sent because the client disconnected, the policy must learn of the disconnection
+  // before the outcome, or it would retry.
   if (end.result == CallResult::kNeverSent && !request->answered &&
       server_.HasClientLeft(request->connection_id)) {
     server_.Close(request->connection_id);
   }
   if (policy::MayHaveRun(end.result)) request->may_have_run = true;
-  // The first successful response answers the request before the policy hears of it: the client is waiting.
+  // The first successful response is sent before the outcome is reported to the policy, to save the client
+  // that delay.
   if (end.result == CallResult::kOk && !request->answered) {
     Response response = StatusResponse(http::status::ok);
     response.headers = std::move(end.headers);
@@ -373,7 +379,7 @@
   NotifyPolicy([&](AdmissionPolicy& policy, double now_s, Actions* actions) {
     policy.OnAttemptOutcome(now_s, outcome, actions);
   });
-  requests_.EndOutcome();
+  requests_.EndOutcomeHandling();
   requests_.EraseIfComplete(request_id);
 }
 
@@ -386,29 +392,31 @@
   });
 }
 
-// The gateway is ready by the cached list: discovery may be down when gateways start.
+// A failed poll makes the gateway ready with the cached endpoint list, since discovery may be down when
+// gateways start.
 void Gateway::OnDiscoveryFailed() {
   NotifyPolicy([](AdmissionPolicy& policy, double now_s, Actions* actions) {
     policy.OnEndpointUpdate(now_s, EndpointUpdateKind::kFailed, {}, actions);
   });
-  BecomeReady();
+  MarkReady();
 }
 
-// Logged once: with gateway_listening it tells how far a start came that did not go on.
-void Gateway::BecomeReady() {
+// The event is logged once. Together with gateway_listening it shows how far an unsuccessful start got.
+void Gateway::MarkReady() {
   if (!std::exchange(ready_, true)) log_.Write("gateway_ready " + FormatProcessTimes());
 }
 
-// Guards against a policy that never answers a request, which would leave the client without an answer. 503
-// says that a retry is harmless, so it is given only where no attempt can have had an effect.
+// Guards against a policy that never decides about a request, which would leave the client without a
+// response. Status 503 tells the client that a retry is safe, so it is sent only if no attempt can have had
+// an effect; otherwise the status is 504.
 void Gateway::OnRequestDeadline(uint32_t request_id) {
   InFlightRequest* request = requests_.Find(request_id);
   if (request == nullptr || request->answered) return;
   if (HasUnreadResponse(request_id)) return timers_.AddRequestDeadline(Clock::now(), request_id);
-  CountEnd(RejectionLog::Cause::kDeadline, request_id);
-  bool harmless = request->idempotent || (!request->may_have_run && !request->HasAttemptInFlight());
+  CountEndedRequest(RejectionLog::Cause::kDeadline, request_id);
+  bool retry_is_safe = request->idempotent || (!request->may_have_run && !request->HasAttemptInFlight());
   Answer(request_id,
-         StatusResponse(harmless ? http::status::service_unavailable : http::status::gateway_timeout));
+         StatusResponse(retry_is_safe ? http::status::service_unavailable : http::status::gateway_timeout));
   NotifyPolicy([&](AdmissionPolicy& policy, double now_s, Actions* actions) {
     policy.OnClientGone(now_s, request_id, actions);
   });
@@ -420,8 +428,8 @@
 }
 
 void Gateway::OnPolicyTimer(uint64_t tag) {
-  bool of_request = tag <= std::numeric_limits<uint32_t>::max();
-  if (of_request && HasUnreadResponse(static_cast<uint32_t>(tag))) {
+  bool is_request_timer = tag <= std::numeric_limits<uint32_t>::max();  // the tag is then a request id
+  if (is_request_timer && HasUnreadResponse(static_cast<uint32_t>(tag))) {
     return timers_.AddPolicyTimer(Clock::now(), tag);
   }
   NotifyPolicy(
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -1,5 +1,5 @@
-// The event loop's side of the admission policy: gives it what happens on sockets as events, and carries out
-// its actions on the sockets. Decides nothing.
+// Connects the admission policy to the network: translates socket and timer activity into policy events, and
+// executes the actions that the policy returns. Admission, routing and retry decisions are the policy's.
 #ifndef GATEWAY_NET_GATEWAY_H_
 #define GATEWAY_NET_GATEWAY_H_
 
@@ -27,30 +27,32 @@
 
 namespace gateway::net {
 
-// One gateway. Single-threaded: everything runs in handlers of `io`, and no handler runs within a call of the
-// policy. A request is in `requests_` from its arrival until it is answered and no attempt of it is in
-// flight; it gets exactly one final answer (Answer), or its client leaves first (OnConnectionClosed).
+// Every request gets exactly one final response (Answer), unless its client disconnects first
+// (OnConnectionClosed). A request stays in `requests_` from its arrival until it has been answered and none
+// of its attempts is in flight.
+//
+// Single-threaded: all code runs in handlers of `io`, and no handler runs during a call to the policy.
 class Gateway : private TimerQueue::Handler {
  public:
-  // Listens, and begins to follow discovery. `config` and `log` outlive the gateway. Throws
-  // config::ConfigError where the cached endpoint list of the configuration is unreadable, and
-  // boost::system::system_error where the address cannot be listened on.
+  // Starts listening for clients and watching discovery. `config` and `log` must outlive the gateway. Throws
+  // config::ConfigError if the cached endpoint list in the configuration is invalid, and
+  // boost::system::system_error if the gateway cannot listen on its address.
   Gateway(asio::io_context& io, const config::GatewayConfig& config, Log* log);
   ~Gateway();
 
   tcp::endpoint local_endpoint() const { return server_.local_endpoint(); }
 
-  // Begins a graceful shutdown; at its end `io` is stopped.
+  // Starts a graceful shutdown, which stops `io` when it is complete.
   void Shutdown();
 
-  // Switches to the addresses of discovery and counter that `fresh` names. Returns the keys that differ and
-  // need a restart. Throws config::ConfigError, and changes nothing, where `fresh` is another gateway's
-  // configuration.
-  std::vector<std::string> Reload(const config::GatewayConfig& fresh);
+  // Switches to the discovery and counter addresses in `new_config`. Returns the keys whose changed values
+  // take effect only after a restart. Throws config::ConfigError and changes nothing if `new_config` belongs
+  // to another gateway.
+  std::vector<std::string> Reload(const config::GatewayConfig& new_config);
 
  private:
   // Policy.
-  double PolicyTime(Clock::time_point at) const;
+  double PolicyTimeS(Clock::time_point at) const;
   template <typename Event>
   void NotifyPolicy(Event event);
   void CheckForStall(Clock::time_point now);
@@ -68,9 +70,9 @@
   void OnConnectionClosed(uint64_t connection, bool had_unanswered_request);
   void AnswerAdminRequest(uint64_t connection, std::string_view target);
   void ReplyStatus(uint64_t connection, http::status status);
-  void CountEnd(RejectionLog::Cause cause, uint32_t request_id);
+  void CountEndedRequest(RejectionLog::Cause cause, uint32_t request_id);
   void StartRequest(uint64_t connection, ClientRequest* message,
-                    const ParsedRequest& parsed);  // takes the body
+                    const ParsedRequest& parsed);  // moves the body out of `message`
   void Answer(uint32_t request_id, Response response);
 
   // Attempts.
@@ -78,13 +80,13 @@
   void PostAttemptEnd(uint32_t request_id, int attempt, policy::CallResult result);
   void DropUnsentAttempts(uint32_t request_id);
   bool HasUnreadResponse(uint32_t request_id);
-  void OnAttemptEnd(uint32_t request_id, int attempt, AttemptResult end);
+  void OnAttemptEnded(uint32_t request_id, int attempt, AttemptResult end);
   void ReportOutcome(uint32_t request_id, int attempt, const AttemptResult& end);
 
   // Discovery.
   void OnEndpointList(const EndpointList& list, policy::EndpointUpdateKind kind);
   void OnDiscoveryFailed();
-  void BecomeReady();
+  void MarkReady();
 
   // TimerQueue::Handler.
   void OnRequestDeadline(uint32_t request_id) override;
@@ -95,20 +97,21 @@
   asio::io_context& io_;
   const config::GatewayConfig& config_;
   Log& log_;
-  const double clock_offset_s_;  // the system's clock at the monotonic clock's zero
+  const double clock_offset_s_;  // system time at the zero of the monotonic clock
   EndpointIds endpoint_ids_;
   BackendConnectionPool pool_;
   BackendMembership membership_;
   ClientServer server_;
-  std::optional<CounterClient> counter_;  // none where the configuration names none
+  std::optional<CounterClient> counter_;  // empty if no counter is configured
   DiscoveryClient discovery_;
   InFlightRequests requests_;
   TimerQueue timers_;
   EventLoopMonitor event_loop_monitor_;
   GracefulShutdown shutdown_;
   RejectionLog rejection_log_;
-  bool ready_ = false;  // discovery has given a list, or failed once
-  // The request for which the policy's OnRequest is being called. Its client was there a moment ago.
+  bool ready_ = false;  // discovery has returned an endpoint list or failed once
+  // The request for which the policy's OnRequest is running, or kNoRequest. Its client was found to be
+  // connected just before.
   uint32_t arriving_request_id_ = kNoRequest;
   policy::Actions actions_, executing_actions_;
   std::optional<policy::AdmissionPolicy> policy_;
--- a/src/net/graceful_shutdown.cpp
+++ b/src/net/graceful_shutdown.cpp
@@ -5,16 +5,17 @@
 namespace gateway::net {
 namespace {
 
-// Clients go on coming for up to 0.4 s after SIGTERM (PROTOCOL, Figures).
-constexpr double kArrivalsS = 0.5;
+// New requests keep arriving for up to 0.4 s after SIGTERM (PROTOCOL, Figures).
+constexpr double kAcceptingRequestsS = 0.5;
 
-// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which at most kMaxKillDeadlineS counts,
-// and kKillGraceS more (PROTOCOL, Figures). kKillMarginS of that is left to a busy core.
+// After SIGTERM, SIGKILL is not sent before the longest deadline, of which at most kMaxKillDeadlineS counts,
+// plus kKillGraceS have passed (PROTOCOL, Figures). kKillMarginS of that time is reserved for delays on a
+// busy core.
 constexpr double kMaxKillDeadlineS = 3;
 constexpr double kKillGraceS = 0.7;
 constexpr double kKillMarginS = 0.2;
 
-// After the longest deadline: for the last answers to be written.
+// Time after the longest deadline for writing the last responses.
 constexpr double kStopGraceS = 0.6;
 
 }  // namespace
@@ -27,25 +28,25 @@
   if (started()) return;
   Clock::time_point now = Clock::now();
   double kill_s = std::min(longest_deadline_s_, kMaxKillDeadlineS) + kKillGraceS;
-  times_ = {.arrivals_end = now + Seconds(kArrivalsS),
+  times_ = {.accepting_end = now + Seconds(kAcceptingRequestsS),
             .answer_deadline = now + Seconds(kill_s - kKillMarginS),
             .stop_deadline = now + Seconds(longest_deadline_s_ + kStopGraceS)};
   server_.CloseAfterResponses();
-  timer_.expires_at(times_->arrivals_end);
+  timer_.expires_at(times_->accepting_end);
   timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) OnArrivalsEnd();
+    if (!cancelled) OnAcceptingEnd();
   });
 }
 
-// By the clock, not by the timer: in a busy event loop the timer's handler comes late.
+// The state is computed from the clock, because in a busy event loop the handler of the timer runs late.
 GracefulShutdown::State GracefulShutdown::state() const {
   if (!started()) return State::kServing;
-  return Clock::now() < times_->arrivals_end ? State::kAcceptingArrivals : State::kDraining;
+  return Clock::now() < times_->accepting_end ? State::kAcceptingRequests : State::kDraining;
 }
 
-double GracefulShutdown::TimeForAnswer() const { return ToSeconds(times_->answer_deadline - Clock::now()); }
+double GracefulShutdown::AnswerTimeLeftS() const { return ToSeconds(times_->answer_deadline - Clock::now()); }
 
-void GracefulShutdown::OnArrivalsEnd() {
+void GracefulShutdown::OnAcceptingEnd() {
   server_.CloseIdle();
   timer_.expires_at(times_->answer_deadline);
   timer_.async_wait([this](error_code cancelled) {
--- a/src/net/in_flight_requests.h
+++ b/src/net/in_flight_requests.h
@@ -1,4 +1,4 @@
-// The table of requests that the gateway has taken from clients and is not done with.
+// The table of requests that the gateway has accepted from clients and has not finished.
 #ifndef GATEWAY_NET_IN_FLIGHT_REQUESTS_H_
 #define GATEWAY_NET_IN_FLIGHT_REQUESTS_H_
 
@@ -14,61 +14,65 @@
 
 namespace gateway::net {
 
-inline constexpr uint32_t kNoRequest = 0;  // no request has this id
+inline constexpr uint32_t kNoRequest = 0;  // never the id of a request
 
-// One attempt at a backend. It is in flight from the policy's action until its outcome is reported.
+// One attempt to forward a request to a backend. It is in flight from the policy's ForwardAttempt action
+// until its outcome is reported to the policy.
 struct InFlightAttempt {
   uint32_t backend_id = 0;
-  uint64_t pool_attempt_id = 0;  // 0 where the attempt never reached the pool
+  uint64_t pool_attempt_id = 0;  // 0 if the attempt was never passed to the connection pool
   bool in_flight = false;
 };
 
-// One request, from its arrival until it is answered and none of its attempts is in flight.
+// One request, from its arrival until it has been answered and none of its attempts is in flight.
 struct InFlightRequest {
-  uint64_t connection_id = 0;  // the client's
+  uint64_t connection_id = 0;  // connection to the client
   std::string client_request_id;
-  std::string head;  // to backends: request line and fields, but for the time-out and the empty line
+  // Head of the message to backends: request line and fields, without the time-out field and the final empty
+  // line, which are added for each attempt.
+  std::string head;
   std::string body;
-  Clock::time_point deadline;  // of the final answer
+  Clock::time_point deadline;  // for the final response
   std::vector<InFlightAttempt> attempts;
-  bool answered = false;      // it has its final answer, or its client has gone
-  bool may_have_run = false;  // an attempt ended in a way that leaves this open
+  bool answered = false;      // the final response was sent, or the client disconnected
+  bool may_have_run = false;  // a backend may have executed an attempt that has ended
   bool idempotent = false;
 
   bool HasAttemptInFlight() const;
 };
 
-// Owns the requests. A pointer or reference to one holds until EraseIfComplete() drops it; adding others does
-// not move it. An id is not used again while its request is here.
+// Owns the requests. A pointer or reference to a request is valid until EraseIfComplete() removes the
+// request; adding requests does not invalidate it. An id is not reused while its request is in the table.
 class InFlightRequests {
  public:
-  // Adds an unanswered request. `connection_id` has no other that is unanswered.
+  // Adds an unanswered request and returns its id. `connection_id` must have no other unanswered request.
   uint32_t Add(uint64_t connection_id, std::string_view client_request_id);
 
-  InFlightRequest* Find(uint32_t id);  // null where there is none
+  InFlightRequest* Find(uint32_t id);  // null if there is no such request
   InFlightRequest& At(uint32_t id) { return requests_.at(id); }
   const InFlightRequest& At(uint32_t id) const { return requests_.at(id); }
 
-  // The unanswered request of a client's connection.
+  // Returns the id of the connection's unanswered request, if it has one.
   std::optional<uint32_t> FindUnanswered(uint64_t connection_id) const;
   bool empty() const { return requests_.empty(); }
   bool HasUnanswered() const { return !unanswered_by_connection_.empty(); }
 
-  // Guards against two requests of one id at a backend, which would take the second for a repeat of the
-  // first: the id counts as in use until the request is dropped, so also while an attempt outlives the
-  // answer.
+  // Whether a request with this client request id is in the table. The id stays in use until the request is
+  // removed, which may be after its response if an attempt is still in flight: a backend that received two
+  // requests with the same id would treat the second as a repetition of the first.
   bool IsClientRequestIdInUse(std::string_view client_request_id) const;
 
   void MarkAnswered(uint32_t id);
 
-  // Drops the request if it is answered and no attempt is in flight, except between BeginOutcome() and
-  // EndOutcome() for it.
+  // Removes the request if it has been answered and none of its attempts is in flight, except between
+  // BeginOutcomeHandling() and EndOutcomeHandling() for this request.
   void EraseIfComplete(uint32_t id);
 
-  // Keep a request while the outcome of one of its attempts is handled: the answer that the outcome brings
-  // about would drop the request before the outcome is reported to the policy.
-  void BeginOutcome(uint32_t id) { outcome_request_id_ = id; }
-  void EndOutcome() { outcome_request_id_ = kNoRequest; }
+  // These two calls enclose the handling of an attempt's outcome and keep the request in the table meanwhile.
+  // Otherwise the response that results from the outcome would remove the request before the outcome is
+  // reported to the policy.
+  void BeginOutcomeHandling(uint32_t id) { outcome_request_id_ = id; }
+  void EndOutcomeHandling() { outcome_request_id_ = kNoRequest; }
 
  private:
   std::unordered_map<uint32_t, InFlightRequest> requests_;
