--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr auto kAcceptBackoff = std::chrono::milliseconds(50);
-constexpr int kAcceptQueue = 1024;  // connections
+constexpr int kAcceptQueueLength = 1024;  // connections
 
 }  // namespace
 
@@ -29,10 +29,10 @@
 
 void ClientServer::Listen(const tcp::endpoint& address) {
   acceptor_.open(address.protocol());
-  // So that a restarted gateway gets its address while connections of the one before are in TIME_WAIT.
+  // Lets a restarted gateway bind its address while connections of its predecessor are in TIME_WAIT.
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.bind(address);
-  acceptor_.listen(kAcceptQueue);
+  acceptor_.listen(kAcceptQueueLength);
   Accept();
 }
 
@@ -41,14 +41,14 @@
     if (error == asio::error::operation_aborted) return;
     if (error) return AcceptAfterBackoff();
     OnAccepted(std::move(socket));
-    if (sessions_.size() >= max_connections_) MakeRoom(last_id_);
+    if (sessions_.size() >= max_connections_) EvictSession(last_id_);
     accepting_paused_ = sessions_.size() >= max_connections_;
     if (!accepting_paused_) Accept();
   });
 }
 
-// Descriptors or memory are exhausted. Guards against a spinning loop: the connection stays in the accept
-// queue, so that a call made at once would fail again.
+// Retries after a failed accept, which means that descriptors or memory are exhausted. The delay prevents a
+// busy loop: the connection stays in the accept queue, so an immediate retry would fail again.
 void ClientServer::AcceptAfterBackoff() {
   accept_backoff_.expires_after(kAcceptBackoff);
   accept_backoff_.async_wait([this](error_code cancelled) {
@@ -65,44 +65,44 @@
   session->Start();
 }
 
-// Closes the session that has been idle longest, as a connection may be closed between requests; or else the
-// one that has been incomplete longest. Never one whose bytes are here unread: the rest of its request may be
-// among them. Nor `spared`, the id of one that has just been accepted.
-void ClientServer::MakeRoom(uint64_t spared) {
+// Closes the session that has been idle longest, since a connection may be closed between requests, or else
+// the one that has been incomplete longest. A session with unread bytes is never closed, because they may
+// complete its request. Nor is `protected_id`, the session that has just been accepted.
+void ClientServer::EvictSession(uint64_t protected_id) {
   for (uint64_t id : std::vector<uint64_t>(idle_.begin(), idle_.end())) {
-    if (id != spared && sessions_.at(id)->CloseIfIdle()) return;
+    if (id != protected_id && sessions_.at(id)->CloseIfIdle()) return;
   }
   for (uint64_t id : std::vector<uint64_t>(incomplete_.begin(), incomplete_.end())) {
     if (sessions_.at(id)->CloseIfIncomplete()) return;
   }
 }
 
-// Guards against clients that wait in the accept queue for ever: where every session had a request when the
-// last place was taken, the first to be idle again makes room. Posted: the session is in the middle of
-// becoming so.
-void ClientServer::MakeRoomWhenPaused() {
+// If every session had a request when the limit was reached, the first session that becomes idle again is
+// evicted. Otherwise clients could wait in the accept queue forever. Posted, because the session is still
+// completing its transition to idle.
+void ClientServer::EvictSessionIfPaused() {
   if (!accepting_paused_) return;
   asio::post(io_, [this] {
-    if (accepting_paused_) MakeRoom(0);
+    if (accepting_paused_) EvictSession(0);
   });
 }
 
 void ClientServer::OnIdle(ClientSession* session) {
   session->eviction_position()->idle = idle_.insert(idle_.end(), session->id());
-  MakeRoomWhenPaused();
+  EvictSessionIfPaused();
 }
 
 void ClientServer::OnIncomplete(ClientSession* session) {
-  RemoveFromEviction(session);
+  RemoveFromEvictionLists(session);
   session->eviction_position()->incomplete = incomplete_.insert(incomplete_.end(), session->id());
 }
 
-void ClientServer::OnComplete(ClientSession* session) { RemoveFromEviction(session); }
+void ClientServer::OnComplete(ClientSession* session) { RemoveFromEvictionLists(session); }
 
 void ClientServer::OnRequest(ClientSession* session) { on_request_(session->id(), session->TakeRequest()); }
 
 void ClientServer::OnClosed(ClientSession* session, bool request_pending) {
-  RemoveFromEviction(session);
+  RemoveFromEvictionLists(session);
   sessions_.erase(session->id());
   on_closed_(session->id(), request_pending);
   if (accepting_paused_ && sessions_.size() < max_connections_) {
@@ -111,14 +111,14 @@
   }
 }
 
-void ClientServer::RemoveFromEviction(ClientSession* session) {
+void ClientServer::RemoveFromEvictionLists(ClientSession* session) {
   EvictionPosition* position = session->eviction_position();
   if (position->idle.has_value()) idle_.erase(*position->idle);
   if (position->incomplete.has_value()) incomplete_.erase(*position->incomplete);
   *position = {};
 }
 
-// A reference of its own, as the session may be closed within the call that is made on it.
+// Returns a shared reference, because the session may be closed during the call that is made on it.
 std::shared_ptr<ClientSession> ClientServer::Find(uint64_t connection) const {
   auto it = sessions_.find(connection);
   return it == sessions_.end() ? nullptr : it->second;
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -1,4 +1,5 @@
-// The side towards clients: the listener, the limit on connections, and which of them make room for new ones.
+// The client-facing side of the gateway: the listener, the limit on client connections, and the eviction of
+// connections when the limit is reached.
 #ifndef GATEWAY_NET_CLIENT_SERVER_H_
 #define GATEWAY_NET_CLIENT_SERVER_H_
 
@@ -17,51 +18,54 @@
 
 namespace gateway::net {
 
-// Accepts clients and holds their sessions, each under an id that is never used again.
+// Accepts client connections and owns their sessions, each under an id that is never reused.
 //
-// When the last free place is taken, the session that has been idle longest is closed, or else the one that
-// has been incomplete longest. Where all sessions have a request, nothing is accepted until one of them is
-// idle again. Runs on the thread of its io_context.
+// When the number of sessions reaches the limit, the session that has been idle longest is closed, or else
+// the one whose request has been incomplete longest. If every session has a complete request, no connection
+// is accepted until one of them becomes idle again. Runs on the thread of its io_context.
 class ClientServer final : private ClientSession::Owner {
  public:
-  // Receives a complete request. It is answered once by Reply, within the call or later.
+  // Receives a complete request, which must be answered once by Reply, within the call or later.
   using OnRequestFn = std::function<void(uint64_t connection, ClientRequest)>;
-  // A connection has ended; `request_pending`: with a request on it that was not answered, so its client has
-  // left.
+  // Called when a connection has been closed. `request_pending` tells whether it held an unanswered request,
+  // whose client has therefore disconnected.
   using OnClosedFn = std::function<void(uint64_t connection, bool request_pending)>;
 
-  // `request_timeout`: for a connection's first request to be complete from when it was accepted, and for a
-  // later one from its first byte.
+  // `request_timeout` limits how long a request may take to arrive completely: the first request of a
+  // connection counts from the accept, and each later request from its first byte.
   ClientServer(asio::io_context& io, size_t max_connections, OnRequestFn on_request, OnClosedFn on_closed,
                Clock::duration request_timeout = std::chrono::milliseconds(2500));
-  // Closes all connections without a callback.
+  // Closes all connections without calling a callback.
   ~ClientServer();
   ClientServer(const ClientServer&) = delete;
   ClientServer& operator=(const ClientServer&) = delete;
 
-  // Throws boost::system::system_error where the address cannot be listened on.
+  // Throws boost::system::system_error if it cannot listen on the address.
   void Listen(const tcp::endpoint& address);
   tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
-  // Answers the request of a connection; no-op where that has ended.
+  // Answers the request of a connection. Does nothing if the connection has been closed.
   void Reply(uint64_t connection, Response response);
 
-  // Whether the client has closed the connection or ended its sending, whatever is still unread. Asked of the
-  // socket, since the event may be queued behind others in a busy loop. True for a connection that has ended.
+  // Whether the client has closed the connection or its sending side, even if data is still unread. Queries
+  // the socket, because in a busy event loop the event may be queued behind others. True for a connection
+  // that has been closed.
   bool HasClientLeft(uint64_t connection);
 
-  // Closes the connection of a client that has left.
+  // Closes the connection of a client that has disconnected.
   void Close(uint64_t connection);
 
-  // From now on each response ends its connection, unless its client has sent a further request by then.
+  // From now on the connection is closed after each response, unless the client has already sent another
+  // request on it.
   void CloseAfterResponses() { closes_after_responses_ = true; }
-  // Closes the connections on which no request has begun, but for those with bytes of the client.
+  // Closes the idle connections, except those with unprocessed bytes from the client.
   void CloseIdle();
-  // The same, and those whose request is incomplete or that linger.
+  // Closes the idle connections and also those that are lingering or whose request is incomplete, except
+  // those with unread bytes.
   void CloseIncomplete();
 
   size_t incomplete() const { return incomplete_.size(); }
-  // Whether no connection is open and none waits to be accepted.
+  // Whether no connection is open and none is waiting to be accepted.
   bool HasNoConnections();
 
  private:
@@ -77,9 +81,9 @@
   void Accept();
   void OnAccepted(tcp::socket socket);
   void AcceptAfterBackoff();
-  void MakeRoom(uint64_t spared);
-  void MakeRoomWhenPaused();
-  void RemoveFromEviction(ClientSession* session);
+  void EvictSession(uint64_t protected_id);
+  void EvictSessionIfPaused();
+  void RemoveFromEvictionLists(ClientSession* session);
   std::shared_ptr<ClientSession> Find(uint64_t connection) const;
 
   asio::io_context& io_;
@@ -91,10 +95,11 @@
   OnClosedFn on_closed_;
   uint64_t last_id_ = 0;
   bool closes_after_responses_ = false;
-  bool accepting_paused_ = false;  // all places are taken
+  bool accepting_paused_ = false;  // the limit on connections is reached
   std::unordered_map<uint64_t, std::shared_ptr<ClientSession>> sessions_;
-  SessionIds idle_;        // the longest idle first
-  SessionIds incomplete_;  // with a begun request, or lingering; the longest so first
+  SessionIds idle_;  // the longest idle session first
+  // Sessions whose request is incomplete, and lingering sessions; those in this condition longest come first.
+  SessionIds incomplete_;
 };
 
 }  // namespace gateway::net
--- a/src/net/client_session.cpp
+++ b/src/net/client_session.cpp
@@ -8,18 +8,18 @@
 namespace gateway::net {
 namespace {
 
-// What is read of a client ahead of its response, in bytes. Beyond that nothing is read until it is answered,
-// so that clients cannot fill the memory.
-constexpr size_t kMaxReadAhead = 2 * kMaxHeaderBytes;
-constexpr size_t kMaxEmptyLineBytes = 64;  // ahead of a request
+// The limit on bytes that are buffered before the current response has been written. Beyond it nothing is
+// read until then, so that clients cannot exhaust the memory.
+constexpr size_t kMaxReadAheadBytes = 2 * kMaxHeaderBytes;
+constexpr size_t kMaxEmptyLineBytes = 64;  // before a request
 constexpr size_t kMaxLingeringBytes = size_t{1} << 20;
 constexpr auto kLingerTimeout = std::chrono::seconds(1);  // for a client to read its last response
 constexpr auto kWriteTimeout = std::chrono::seconds(10);  // for a client to read a response
-// Interval at which a client is checked for having left while nothing is read of it: half of the 0.1 s after
-// which no attempt of its request may begin.
-constexpr auto kClientEndInterval = std::chrono::milliseconds(50);
+// Interval at which a client from which nothing is read is checked for disconnection. No attempt may begin
+// later than 0.1 s after its client has disconnected; the interval is half of that.
+constexpr auto kDisconnectPollInterval = std::chrono::milliseconds(50);
 
-int StatusForUnreadable(error_code error) {
+int StatusForParseError(error_code error) {
   if (error == http::error::header_limit) return 431;
   if (error == http::error::body_limit) return 413;
   return 400;
@@ -35,10 +35,10 @@
       request_timeout_(request_timeout),
       socket_(std::move(socket)),
       timer_(io),
-      buffer_(kMaxReadAhead + kReadChunkBytes) {}
+      buffer_(kMaxReadAheadBytes + kReadChunkBytes) {}
 
-// Guards against clients that connect and send nothing, or never a complete request: the time for it runs
-// from the first moment.
+// The request time-out runs from the start, as a guard against clients that connect and send nothing or never
+// complete a request.
 void ClientSession::Start() {
   BecomeIdle();
   ArmRequestTimeout();
@@ -47,8 +47,8 @@
 
 void ClientSession::Reply(Response&& response) {
   if (state_ != State::kAwaitingResponse) return;
-  // A request that has been sent ahead is served too before the connection ends.
-  bool last_response = owner_->ClosesAfterResponses() && !HoldsBytes();
+  // A request that the client has already sent is served before the connection is closed.
+  bool last_response = owner_->ClosesAfterResponses() && !HasUnprocessedBytes();
   Write(response, keep_alive_ && !last_response);
 }
 
@@ -58,7 +58,7 @@
 }
 
 bool ClientSession::CloseIfIdle() {
-  if (state_ != State::kIdle || HoldsBytes()) return false;
+  if (state_ != State::kIdle || HasUnprocessedBytes()) return false;
   Close();
   return true;
 }
@@ -71,7 +71,7 @@
 
 void ClientSession::Close() {
   if (state_ == State::kClosed) return;
-  auto self = shared_from_this();  // the owner's may be the last other reference
+  auto self = shared_from_this();  // the owner may hold the last other reference
   bool request_pending = state_ == State::kAwaitingResponse;
   state_ = State::kClosed;
   timer_.cancel();
@@ -85,21 +85,21 @@
   CloseSocket(socket_);
 }
 
-// Ready for the next request, of which bytes may have come already.
+// Makes the session ready for the next request, part of which may already have arrived.
 void ClientSession::BecomeIdle() {
   state_ = State::kIdle;
-  continue_sent_ = request_overdue_ = false;
+  continue_sent_ = request_timed_out_ = false;
   empty_line_bytes_ = 0;
   ResetParser(&parser_, kMaxBodyBytes);
   owner_->OnIdle(this);
 }
 
 void ClientSession::Read() {
-  if (read_pending_ || client_sends_no_more_ || state_ == State::kClosed) return;
-  if (buffer_.size() >= kMaxReadAhead) return WatchForClientEnd();
+  if (read_pending_ || received_eof_ || state_ == State::kClosed) return;
+  if (buffer_.size() >= kMaxReadAheadBytes) return PollForDisconnect();
   read_pending_ = true;
-  // Waits without reading: what has come stays in the socket until it is looked at here, so that whoever
-  // would close the session sees it there, and a waiting session needs no buffer.
+  // Waits for readability without reading. The bytes stay in the socket until the handler runs, so that
+  // CloseIfIdle and CloseIfIncomplete see them there, and a waiting session needs no buffer.
   socket_.async_wait(tcp::socket::wait_read,
                      [self = shared_from_this(), this](error_code error) { OnReadable(error); });
 }
@@ -110,18 +110,18 @@
   size_t received = 0;
   if (!error) received = socket_.receive(buffer_.prepare(kReadChunkBytes), 0, error);
   if (error == asio::error::would_block) return Read();
-  // The end of a client's sending while its response is being written ends the session only when that is out.
-  // In any other state the client has left.
+  // If the client closes its sending side while its response is being written, the session is closed after
+  // the response has been written. In any other state the client has disconnected.
   if (error == asio::error::eof && state_ == State::kWriting) {
-    client_sends_no_more_ = true;
+    received_eof_ = true;
     return;
   }
   if (error) return Close();
-  OnBytes(received);
+  OnBytesReceived(received);
   Read();
 }
 
-void ClientSession::OnBytes(size_t received) {
+void ClientSession::OnBytesReceived(size_t received) {
   buffer_.commit(received);
   if (state_ == State::kLingering) {
     lingering_bytes_ += received;
@@ -129,23 +129,23 @@
     if (lingering_bytes_ > kMaxLingeringBytes) Close();
   } else if (IsReading()) {
     Parse();
-    if (request_overdue_ && IsReading() && !HasUnreadBytes(socket_)) Close();
+    if (request_timed_out_ && IsReading() && !HasUnreadBytes(socket_)) Close();
   }
 }
 
-// Of a client that has sent so much ahead that no more is read, the end would not be seen by reading: its
-// request would be forwarded after it has left. Only the end is looked for.
-void ClientSession::WatchForClientEnd() {
+// Polls for the client's disconnection while nothing is read because the read-ahead limit is reached.
+// Otherwise the disconnection would go unnoticed and the request would be forwarded after it.
+void ClientSession::PollForDisconnect() {
   if (state_ != State::kAwaitingResponse) return;
-  timer_.expires_after(kClientEndInterval);
+  timer_.expires_after(kDisconnectPollInterval);
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
     if (cancelled || state_ != State::kAwaitingResponse) return;
     if (HasClientLeft()) return Close();
-    WatchForClientEnd();
+    PollForDisconnect();
   });
 }
 
-// Empty lines ahead of a request are skipped (RFC 9112, 2.2). False where there are too many.
+// Skips empty lines before a request (RFC 9112, 2.2). Returns false if there are too many.
 bool ClientSession::SkipEmptyLines() {
   while (buffer_.size() > 0) {
     char next = *static_cast<const char*>(buffer_.data().data());
@@ -157,20 +157,20 @@
 }
 
 void ClientSession::Parse() {
-  if (state_ == State::kIdle && !SkipEmptyLines()) return RejectUnreadable(http::error::bad_method);
+  if (state_ == State::kIdle && !SkipEmptyLines()) return RejectMalformed(http::error::bad_method);
   if (buffer_.size() == 0) return;
   if (state_ == State::kIdle) {
     state_ = State::kReceiving;
     owner_->OnIncomplete(this);
   }
-  if (error_code error = FeedParser(*parser_, buffer_)) return RejectUnreadable(error);
+  if (error_code error = FeedParser(*parser_, buffer_)) return RejectMalformed(error);
   if (parser_->is_done()) return OnRequestComplete();
   SendContinueIfExpected();
   ArmRequestTimeout();
 }
 
-// RFC 9110, 10.1.1. Sent once, and not again where the socket does not take it: a client may not wait for
-// ever.
+// Sends the interim response "100 Continue" (RFC 9110, 10.1.1). It is sent once and not retried if the socket
+// does not accept it, since a client must not wait for it indefinitely.
 void ClientSession::SendContinueIfExpected() {
   if (continue_sent_ || !parser_->is_header_done() ||
       !boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) {
@@ -188,7 +188,7 @@
   timer_.expires_after(request_timeout_);
   timer_.async_wait([self = shared_from_this(), this](error_code cancelled) {
     if (cancelled || !request_timeout_armed_ || !IsReading()) return;
-    request_overdue_ = true;  // what has come by now is read first: it may be the rest
+    request_timed_out_ = true;  // unread bytes are read before closing, as they may complete the request
     if (!HasUnreadBytes(socket_)) Close();
   });
 }
@@ -206,11 +206,11 @@
   owner_->OnRequest(this);
 }
 
-// The framing of what follows is in doubt: the response ends the connection.
-void ClientSession::RejectUnreadable(error_code error) {
+// Answers a malformed request and closes the connection, since the framing of the following bytes is unknown.
+void ClientSession::RejectMalformed(error_code error) {
   DisarmRequestTimeout();
   Response response;
-  response.status = StatusForUnreadable(error);
+  response.status = StatusForParseError(error);
   Write(response, false);
 }
 
@@ -226,8 +226,8 @@
 void ClientSession::OnWritten(error_code error, bool keep_alive) {
   if (state_ == State::kClosed) return;
   timer_.cancel();
-  // Posted: the caller may be in the middle of its actions, and OnClosed is an event of its own.
-  if (error || client_sends_no_more_) {
+  // Posted, because the caller may still be executing its actions and OnClosed must be a separate event.
+  if (error || received_eof_) {
     return asio::post(io_, [self = shared_from_this(), this] { Close(); });
   }
   if (message_.capacity() > kMaxHeaderBytes) message_ = std::string();
@@ -239,15 +239,15 @@
 
 void ClientSession::ReadNextRequest() {
   if (buffer_.size() == 0) return Read();
-  // Bytes that came ahead are the next request. Posted: the caller may be in the middle of its actions.
+  // The buffered bytes are the next request. Posted, because the caller may still be executing its actions.
   asio::post(io_, [self = shared_from_this(), this] {
     if (IsReading()) Parse();
     Read();
   });
 }
 
-// Guards against a client that never reads its response: it would hold a connection and the response's memory
-// for ever.
+// Guards against a client that never reads its response, which would occupy a connection and the memory of
+// the response forever.
 void ClientSession::ArmWriteTimeout() {
   if (state_ != State::kWriting) return;
   timer_.expires_after(kWriteTimeout);
@@ -256,8 +256,8 @@
   });
 }
 
-// Guards against a last response that is lost: a close while bytes of the client are unread resets the
-// connection, and the client may get the reset before the response (RFC 9112, 9.6).
+// Keeps reading for a while after the last response, so that the response is not lost: closing a connection
+// with unread bytes resets it, and the client may receive the reset before the response (RFC 9112, 9.6).
 void ClientSession::Linger() {
   state_ = State::kLingering;
   buffer_.clear();
--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -1,4 +1,4 @@
-// One client's connection: reading its requests one after another, and writing their responses.
+// One client connection: reads its requests one after another and writes their responses.
 #ifndef GATEWAY_NET_CLIENT_SESSION_H_
 #define GATEWAY_NET_CLIENT_SESSION_H_
 
@@ -18,105 +18,107 @@
 
 using ClientRequest = http::request<http::string_body>;
 
-// Where a session stands in its owner's lists, in the order in which sessions are evicted. Kept in the
-// session so that no list has to be searched.
+// The position of a session in its owner's eviction lists. Stored in the session so that the owner does not
+// have to search its lists.
 struct EvictionPosition {
-  using Place = std::optional<std::list<uint64_t>::iterator>;
-  Place idle, incomplete;
+  using ListPosition = std::optional<std::list<uint64_t>::iterator>;
+  ListPosition idle, incomplete;
 };
 
-// An HTTP/1.1 connection of a client. It takes one request at a time: bytes that come ahead of the response
-// stay unread, or in the buffer up to a limit, and are the next request (RFC 9112, 9.3.2).
+// Processes one request at a time on an HTTP/1.1 connection of a client. Bytes that arrive before the
+// response has been written stay in the socket, or in the buffer up to a limit, and are parsed as the next
+// request (RFC 9112, 9.3.2).
 //
 // States and transitions:
-// - kIdle to kReceiving: the first byte of a request.
+// - kIdle to kReceiving: the first byte of a request has arrived.
 // - kReceiving to kAwaitingResponse: the request is complete.
-// - kAwaitingResponse to kWriting: Reply. Also from kIdle and kReceiving, for a request that cannot be read.
-// - kWriting to kIdle: the response is written and the connection kept.
-// - kWriting to kLingering: the response was the last one. The client's remaining bytes are read and dropped.
-// - any to kClosed: Close, the end of the connection, or the end of the time for the state.
+// - kAwaitingResponse to kWriting: Reply was called.
+// - kIdle or kReceiving to kWriting: the request is malformed, and the session itself answers it.
+// - kWriting to kIdle: the response has been written and the connection is kept alive.
+// - kWriting to kLingering: the last response has been written. Further bytes of the client are discarded.
+// - any state to kClosed: Close was called, the connection has failed, the client has closed it, or the
+//   time-out of the state has expired.
 //
-// Ownership: the owner and the pending operations of the session share it. No callback runs after Close or
+// Ownership: the session is shared by its owner and its pending operations. No callback runs after Close or
 // Detach.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
-  // What a session tells its server, always within a handler of the session or a call of the server.
+  // Receives the notifications of a session, always during a handler of the session or a call by the server.
   class Owner {
    public:
-    // The session has become idle: it is new, or its response is written.
+    // The session has become idle: it is new, or its response has been written.
     virtual void OnIdle(ClientSession* session) = 0;
-    // The first byte of a request has come, or the session lingers: it may be evicted as incomplete.
+    // The first byte of a request has arrived, or the session is lingering. It may be evicted as incomplete.
     virtual void OnIncomplete(ClientSession* session) = 0;
-    // The session has a complete request, which OnRequest brings next. It must not be evicted.
+    // The session has a complete request and must not be evicted. A call to OnRequest follows.
     virtual void OnComplete(ClientSession* session) = 0;
-    // The owner takes the request by TakeRequest, and answers it by Reply within this call or later.
+    // The owner must take the request by TakeRequest, and answer it by Reply within this call or later.
     virtual void OnRequest(ClientSession* session) = 0;
-    // The session is closed. `request_pending`: with a request on it that was not answered, so its client has
-    // left. The owner drops its reference.
+    // The session is closed, and the owner must drop its reference. `request_pending` tells whether the
+    // session held an unanswered request, whose client has therefore disconnected.
     virtual void OnClosed(ClientSession* session, bool request_pending) = 0;
-    // Whether the next response is to end its connection where no further request has been sent.
+    // Whether to close the connection after the next response if no further request has been sent.
     virtual bool ClosesAfterResponses() const = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // `request_timeout`: for the first request to be complete from Start on, and for each later one from its
-  // first byte on.
+  // `request_timeout` limits how long a request may take to arrive completely: the first request counts from
+  // Start, and each later request from its first byte.
   ClientSession(asio::io_context& io, Owner* owner, uint64_t id, tcp::socket socket,
                 Clock::duration request_timeout);
 
   uint64_t id() const { return id_; }
   EvictionPosition* eviction_position() { return &eviction_position_; }
 
-  // Begins to read. Call once.
+  // Starts reading. Must be called once.
   void Start();
 
-  // The request that has come. Call once for each OnRequest, within it.
+  // Returns the request that has arrived. Must be called once for each OnRequest, during that call.
   ClientRequest TakeRequest() { return parser_->release(); }
 
-  // Answers the request that the session holds; no-op where it holds none. Takes the response to write it at
-  // once.
+  // Answers the current request; does nothing if there is none. Starts writing the response immediately.
   void Reply(Response&& response);
 
-  // Whether the client has closed the connection or ended its sending, whatever is still unread. Asked of the
-  // socket, since the event may be queued behind others in a busy loop.
+  // Whether the client has closed the connection or its sending side, even if data is still unread. Queries
+  // the socket, because in a busy event loop the event may be queued behind others.
   bool HasClientLeft();
 
-  // Closes the session if it is idle and holds no bytes of the client, read or unread: these begin a request
-  // that is to be served. Returns whether it did.
+  // Closes the session if it is idle and has no unprocessed bytes, which would be the start of a request that
+  // must be served. Returns whether the session was closed.
   bool CloseIfIdle();
 
-  // Closes the session if it is receiving or lingering and nothing has come that was not read yet: the rest
-  // of the request may be there already. Returns whether it did.
+  // Closes the session if it is receiving or lingering and the socket has no unread bytes, which may be the
+  // rest of the request. Returns whether the session was closed.
   bool CloseIfIncomplete();
 
-  // Closes the session at once; no-op when closed.
+  // Closes the session immediately; does nothing if it is closed already.
   void Close();
 
-  // Closes the session without a callback, for an owner that ends.
+  // Closes the session without calling the owner, for use in the owner's destructor.
   void Detach();
 
  private:
   enum class State { kIdle, kReceiving, kAwaitingResponse, kWriting, kLingering, kClosed };
 
-  // Whether bytes of the client have come that no answered request held: a request that is owed a response
-  // may be among them.
-  bool HoldsBytes() { return buffer_.size() > 0 || HasUnreadBytes(socket_); }
+  // Whether bytes have arrived, in the buffer or in the socket, that belong to no request answered so far.
+  // They may contain a request that must be answered.
+  bool HasUnprocessedBytes() { return buffer_.size() > 0 || HasUnreadBytes(socket_); }
   bool IsReading() const { return state_ == State::kIdle || state_ == State::kReceiving; }
 
   void BecomeIdle();
   void Read();
   void OnReadable(error_code error);
-  void OnBytes(size_t received);
-  void WatchForClientEnd();
+  void OnBytesReceived(size_t received);
+  void PollForDisconnect();
   bool SkipEmptyLines();
   void Parse();
   void SendContinueIfExpected();
   void ArmRequestTimeout();
   void DisarmRequestTimeout();
   void OnRequestComplete();
-  void RejectUnreadable(error_code error);
+  void RejectMalformed(error_code error);
   void Write(const Response& response, bool keep_alive);
   void OnWritten(error_code error, bool keep_alive);
   void ReadNextRequest();
@@ -128,23 +130,24 @@
   const uint64_t id_;
   const Clock::duration request_timeout_;
   tcp::socket socket_;
-  asio::steady_timer
-      timer_;  // of the request, of looking for the client's end, of writing, then of lingering
+  // Used for one purpose at a time: the request time-out, polling for the client's disconnection, the write
+  // time-out or the time limit of lingering.
+  asio::steady_timer timer_;
   EvictionPosition eviction_position_;
   State state_ = State::kIdle;
 
-  boost::beast::flat_buffer buffer_;  // bytes read and not parsed
+  boost::beast::flat_buffer buffer_;  // bytes that have been read but not parsed
   std::optional<http::request_parser<http::string_body>> parser_;
   bool read_pending_ = false;
-  bool client_sends_no_more_ = false;
-  size_t empty_line_bytes_ = 0;  // ahead of the request
+  bool received_eof_ = false;
+  size_t empty_line_bytes_ = 0;  // skipped before the request
   size_t lingering_bytes_ = 0;
   bool continue_sent_ = false;
   bool request_timeout_armed_ = false;
-  bool request_overdue_ = false;
-  bool keep_alive_ = true;  // as the last request asks
+  bool request_timed_out_ = false;
+  bool keep_alive_ = true;  // as requested by the last request
 
-  std::string message_;  // the response that is being written
+  std::string message_;  // the serialized response that is being written
   size_t written_bytes_ = 0;
 };
 
