--- a/src/net/client_response.cpp
+++ b/src/net/client_response.cpp
@@ -6,11 +6,11 @@
 namespace gateway::net {
 namespace {
 
-// Enough for the lines that are written here, and for the longest call that writes some of them.
-constexpr size_t kOwnLinesBytes = 160;
-constexpr size_t kMaxOwnLineBytes = 96;
+// Upper bounds for all the lines that are generated in this file, and for those of one snprintf call.
+constexpr size_t kMaxGeneratedBytes = 160;
+constexpr size_t kMaxSnprintfBytes = 96;
 
-// RFC 9110, 15.
+// Returns the reason phrase that RFC 9110, 15 gives for a status that the gateway sends.
 const char* ReasonPhrase(int status) {
   switch (status) {
     case 200: return "OK";
@@ -28,14 +28,14 @@
 }
 
 void AppendStatusAndLength(const Response& response, std::string* message) {
-  char text[kMaxOwnLineBytes];
+  char text[kMaxSnprintfBytes];
   int length = std::snprintf(text, sizeof(text), "HTTP/1.1 %d %s\r\nContent-Length: %zu\r\n", response.status,
                              ReasonPhrase(response.status), response.body.size());
   message->append(text, static_cast<size_t>(length));
 }
 
 void AppendRetryAfter(double retry_after_s, std::string* message) {
-  char text[kMaxOwnLineBytes];
+  char text[kMaxSnprintfBytes];
   int length = std::snprintf(text, sizeof(text), "Retry-After: %.3f\r\n", retry_after_s);
   message->append(text, static_cast<size_t>(length));
 }
@@ -44,7 +44,7 @@
 
 void Serialize(const Response& response, bool keep_alive, std::string* message) {
   message->clear();
-  message->reserve(response.headers.size() + response.body.size() + kOwnLinesBytes);
+  message->reserve(response.headers.size() + response.body.size() + kMaxGeneratedBytes);
   AppendStatusAndLength(response, message);
   if (response.retry_after_s > 0) AppendRetryAfter(response.retry_after_s, message);
   message->append(response.headers);
--- a/src/net/client_response.h
+++ b/src/net/client_response.h
@@ -1,4 +1,4 @@
-// What a client is answered, and its form on the wire.
+// The response to a client, and its serialization as an HTTP/1.1 message.
 #ifndef GATEWAY_NET_CLIENT_RESPONSE_H_
 #define GATEWAY_NET_CLIENT_RESPONSE_H_
 
@@ -8,13 +8,13 @@
 
 struct Response {
   int status = 500;
-  double retry_after_s = 0;  // 0: no Retry-After field
-  std::string headers;       // further field lines, each ended by CRLF
+  double retry_after_s = 0;  // 0 means no Retry-After field
+  std::string headers;       // additional field lines, each terminated by CRLF
   std::string body;
 };
 
-// Replaces `*message` by the response as an HTTP/1.1 message, with its Content-Length; its memory is used
-// again. Without `keep_alive` the message says "Connection: close".
+// Replaces the content of `*message` with the response as an HTTP/1.1 message that has a Content-Length.
+// Reuses the memory of `*message`. Adds "Connection: close" unless `keep_alive` is set.
 void Serialize(const Response& response, bool keep_alive, std::string* message);
 
 }  // namespace gateway::net
--- a/src/net/http_framing.cpp
+++ b/src/net/http_framing.cpp
@@ -10,8 +10,8 @@
   if (std::min(end, bytes.size()) > kMaxHeaderBytes) return http::error::header_limit;
   if (!*complete) return {};
   std::string_view head = bytes.substr(0, end);
-  for (std::string_view fold : {"\r\n ", "\r\n\t"}) {
-    if (head.find(fold) != std::string_view::npos) return http::error::bad_obs_fold;
+  for (std::string_view continuation : {"\r\n ", "\r\n\t"}) {
+    if (head.find(continuation) != std::string_view::npos) return http::error::bad_obs_fold;
   }
   return {};
 }
--- a/src/net/http_framing.h
+++ b/src/net/http_framing.h
@@ -1,5 +1,5 @@
-// Where an HTTP/1.1 message begins and ends: bounded parsing of bytes as they come, for requests and
-// responses alike, and checks that no two readers can take the framing in two ways.
+// Framing of HTTP/1.1 requests and responses: incremental parsing with limits on size, and rejection of
+// messages whose framing two parsers could interpret differently.
 #ifndef GATEWAY_NET_HTTP_FRAMING_H_
 #define GATEWAY_NET_HTTP_FRAMING_H_
 
@@ -16,21 +16,22 @@
 
 namespace gateway::net {
 
-inline constexpr size_t kMaxBodyBytes = size_t{64} * 1024;  // bytes
-inline constexpr size_t kMaxHeaderBytes =
-    size_t{16} * 1024;  // bytes: start line and fields, or one chunk's framing
+inline constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
+// The limit for the start line and the fields of a message, and for the framing of one chunk.
+inline constexpr size_t kMaxHeaderBytes = size_t{16} * 1024;
 
-// Replaces the parser by a fresh one for the next message, with the limits above; `most_body` in bytes.
+// Replaces the parser with a new one for the next message, which is limited to kMaxHeaderBytes and
+// `max_body_bytes`.
 template <typename Parser>
-void ResetParser(std::optional<Parser>* parser, size_t most_body) {
+void ResetParser(std::optional<Parser>* parser, size_t max_body_bytes) {
   parser->emplace();
   (*parser)->header_limit(kMaxHeaderBytes);
-  (*parser)->body_limit(most_body);
+  (*parser)->body_limit(max_body_bytes);
 }
 
-// Whether the end of a message is given once and without doubt (RFC 9112, 6.3): by one Content-Length with
-// one value, or by chunked coding alone. Guards against request smuggling, where a second message is hidden
-// in the body of the first and another reader on the way takes the other of two lengths.
+// Whether the length of a message is unambiguous (RFC 9112, 6.3): the message has one Content-Length with one
+// value, chunked coding alone, or neither. Guards against request smuggling, where a second message is hidden
+// in the body of the first and another parser on the path uses the other of two lengths.
 template <typename Fields>
 bool HasUnambiguousFraming(const Fields& message) {
   size_t lengths = message.count(http::field::content_length);
@@ -43,18 +44,19 @@
          boost::beast::iequals(message[http::field::transfer_encoding], "chunked");
 }
 
-// Looks at the bytes of a message that has not begun to be parsed. `*complete` is set if the whole head is
-// there. Returns header_limit for a head past kMaxHeaderBytes, and bad_obs_fold for a line that continues the
-// one before it (RFC 9112, 5.2).
+// Checks the first bytes of a message before it is parsed. Sets `*complete` to whether they contain the whole
+// head. Returns header_limit for a head longer than kMaxHeaderBytes, and bad_obs_fold for a line that
+// continues the preceding line (RFC 9112, 5.2).
 error_code CheckHead(std::string_view bytes, bool* complete);
 
-// Gives the parser what has come, and consumes it from the buffer. No error means that the message is
-// complete (parser.is_done()) or that more bytes are needed. After an error the framing of the connection is
-// in doubt.
+// Passes the buffered bytes to the parser and removes what it consumes from the buffer. Without an error the
+// message is complete (parser.is_done()) or more bytes are needed. After an error the framing of the rest of
+// the connection is unknown.
 //
-// A head is parsed only when it is complete, so that it can be checked, and nothing but a body grows past
-// kMaxHeaderBytes. The parser is never set to eager: Beast 1.74 then goes on to a body that is past its limit
-// when bytes of it have come with the head, and reserves its whole length.
+// A head is parsed only when it is complete, so that it can be checked first, and only a body may exceed
+// kMaxHeaderBytes. The parser must not be set to eager: Beast 1.74 would then continue with a body that
+// exceeds its limit if bytes of it arrive together with the head, and would reserve memory for its whole
+// length.
 template <typename Parser>
 error_code FeedParser(Parser& parser, boost::beast::flat_buffer& buffer) {
   if (!parser.got_some()) {
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -1,4 +1,4 @@
-// HTTP header fields: which of them end at this hop, and copying the others from one message to the next.
+// HTTP header fields: recognizing hop-by-hop fields, and copying end-to-end fields between messages.
 #ifndef GATEWAY_NET_HTTP_HEADERS_H_
 #define GATEWAY_NET_HTTP_HEADERS_H_
 
@@ -12,13 +12,13 @@
 
 inline std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// Whether a field ends at this hop (RFC 9110, 7.6.1) or is written by the gateway itself, as Content-Length
-// and Expect are.
+// Whether a field must not be forwarded: it is a hop-by-hop field (RFC 9110, 7.6.1), or one that the gateway
+// handles itself, such as Content-Length and Expect.
 bool IsHopByHop(http::field name);
 
-// Appends the field lines of a message that go on to the next hop, each "Name: value\r\n", in their order.
-// Left out are hop-by-hop fields, those that the message's Connection field names, and those for which
-// `skip(field)` is true.
+// Appends the end-to-end field lines of a message to `*out`, each as "Name: value\r\n" and in their original
+// order. Omits hop-by-hop fields, fields that the Connection field of the message names, and fields for which
+// `skip(field)` returns true.
 template <typename Fields, typename Skip>
 void AppendEndToEnd(const Fields& fields, std::string* out, Skip skip) {
   http::token_list named_by_connection(fields[http::field::connection]);
--- a/src/net/request_parser.cpp
+++ b/src/net/request_parser.cpp
@@ -20,9 +20,9 @@
 constexpr unsigned long kMaxTimeoutMs = 60000;
 constexpr size_t kMaxRequestIdBytes = 64;
 constexpr size_t kMaxTenantDigits = 16;
-constexpr uint64_t kTenantNumberLimit = 1ULL << 33;  // tenants are numbered below it
+constexpr uint64_t kTenantNumberLimit = 1ULL << 33;  // tenant numbers are below it
 
-// The text as a number; none unless all of it is one.
+// Parses the text as a number. Returns nothing unless the whole text is a number.
 template <typename T>
 std::optional<T> ParseNumber(std::string_view text, int base = 10) {
   T value{};
@@ -43,7 +43,7 @@
   return text;
 }
 
-// The value of `name` in a list of name=value items; none where it is absent or repeated.
+// Returns the value of `name` in a list of name=value items, or nothing if `name` is absent or repeated.
 std::optional<std::string_view> FindListItem(std::string_view list, char separator, std::string_view name) {
   std::optional<std::string_view> found;
   while (!list.empty()) {
@@ -58,7 +58,7 @@
   return found;
 }
 
-// The class is the first part of the path.
+// Parses the request class, which is the first segment of the path, and the plan.
 bool ParseClassAndPlan(const ClientRequest& message, const config::DeploymentSettings& deployment,
                        policy::Request* request) {
   std::string_view target = ToStringView(message.target());
@@ -72,7 +72,8 @@
   return true;
 }
 
-// A repeated field has two readings: the gateway might use one and a backend the other.
+// Whether one of the fields that must be unique is repeated. The gateway might use one of the values and a
+// backend another.
 bool HasRepeatedField(const ClientRequest& message) {
   for (std::string_view name :
        {std::string_view("Host"), std::string_view(kRequestIdField), std::string_view(kPlanField),
@@ -97,7 +98,7 @@
   return std::min(static_cast<double>(*timeout_ms) / 1000, deadline_s);
 }
 
-// The cost, and the gateways through which the tenant comes.
+// Parses the cost of the request and the ingress gateways of its tenant.
 bool ParseQuotaTerms(std::string_view terms, const policy::Settings& settings, policy::Request* request) {
   auto cost_text = FindListItem(terms, ',', kCostUnitsTerm);
   auto ingress_text = FindListItem(terms, ',', kIngressGatewaysTerm);
--- a/src/net/request_parser.h
+++ b/src/net/request_parser.h
@@ -1,4 +1,4 @@
-// Turns a client's HTTP request into the policy's terms, and finds what is wrong with it.
+// Validates a client's HTTP request and converts it into a request of the admission policy.
 #ifndef GATEWAY_NET_REQUEST_PARSER_H_
 #define GATEWAY_NET_REQUEST_PARSER_H_
 
@@ -11,19 +11,19 @@
 
 namespace gateway::net {
 
-// A valid request. Its view points into the message that it was parsed from.
+// A valid request. `client_request_id` points into the message that the request was parsed from.
 struct ParsedRequest {
-  policy::Request request;  // all but `id` and `time_left_s`, which the gateway sets
-  double timeout_s = 0;     // how long the client waits, at most the class's deadline
+  policy::Request request;  // complete except for `id` and `time_left_s`, which the gateway sets
+  double timeout_s = 0;     // how long the client waits, limited to the deadline of the request class
   std::string_view client_request_id;
   bool idempotent = false;
 };
 
-// The request, or the status to answer in its place: 405 where only the method is wrong, else 400.
+// The parsed request, or the status to send as the response: 405 if only the method is wrong, otherwise 400.
 using RequestParseResult = std::variant<ParsedRequest, http::status>;
 
-// Checks everything that the policy will use before it sees any of it: an invalid request made in a tenant's
-// name must not leave a trace in that tenant's quota. `message` is complete and soundly framed.
+// Validates every value that the policy uses before the policy receives the request: an invalid request that
+// names a tenant must not affect that tenant's quota. `message` must be complete and unambiguously framed.
 RequestParseResult ParseClientRequest(const ClientRequest& message, const config::GatewayConfig& config);
 
 }  // namespace gateway::net
