--- a/src/net/event_loop_monitor.cpp
+++ b/src/net/event_loop_monitor.cpp
@@ -9,10 +9,10 @@
 namespace gateway::net {
 namespace {
 
-constexpr auto kMinStall = std::chrono::milliseconds(10);  // above a busy core's delays
-// The pages' measure of a gateway that is held up (STANDING).
+constexpr auto kMinStall = std::chrono::milliseconds(10);  // longer than the delays on a busy core
+// The operators' documents count a gateway as stalled from this duration on (STANDING).
 constexpr auto kMinLoggedStall = std::chrono::milliseconds(150);
-constexpr auto kLineInterval = std::chrono::seconds(1);
+constexpr auto kLogInterval = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -25,11 +25,12 @@
   return now - last_call_at;
 }
 
-// A process that stood still reads requests late and counts their time from then: at night, the sign that an
-// answer came late, or never, through no rule of the gateway.
+// A process that was stalled reads requests late and measures their time only from then on. For the operators
+// this log line is the sign that a response was late or missing because of a stall and not because of a
+// decision of the gateway.
 void EventLoopMonitor::LogIfLate(Clock::duration late, Clock::time_point now) {
-  if (late < kMinLoggedStall || now < next_line_at_) return;
-  next_line_at_ = now + kLineInterval;
+  if (late < kMinLoggedStall || now < next_log_line_at_) return;
+  next_log_line_at_ = now + kLogInterval;
   log_.Write("event_loop_late late_s=" + FormatSeconds(late) + " " + FormatProcessTimes());
 }
 
--- a/src/net/event_loop_monitor.h
+++ b/src/net/event_loop_monitor.h
@@ -1,4 +1,4 @@
-// Finds out for how long the process stood still.
+// Detects stalls: times during which the event loop could not run.
 #ifndef GATEWAY_NET_EVENT_LOOP_MONITOR_H_
 #define GATEWAY_NET_EVENT_LOOP_MONITOR_H_
 
@@ -8,21 +8,21 @@
 
 namespace gateway::net {
 
-// The process has stood still (stopped, swapped out, or without its core) where the event loop runs later
-// than its next timer was due. While somebody waits for what is to be read, a timer is due within
-// kWakeUpInterval, so that no stall that is longer goes unnoticed.
+// The process was stalled (stopped, swapped out or without a core) if the event loop runs later than its next
+// timer was due. While responses are awaited, a timer is always due within kWakeUpInterval, so that no longer
+// stall goes unnoticed.
 class EventLoopMonitor {
  public:
   static constexpr auto kWakeUpInterval = std::chrono::milliseconds(50);
 
-  // Both outlive the monitor.
+  // `timers` and `log` must outlive the monitor.
   EventLoopMonitor(TimerQueue* timers, Log* log) : timers_(*timers), log_(*log) {}
 
-  // To be called at `now`, before an event is handled. Returns for how long the process may have stood still
-  // up to now: the time since the last call, or zero where the event loop was in time.
+  // Must be called before an event is handled, with the current time. Returns the longest stall that the
+  // process can have had until now: the time since the last call, or zero if the event loop was not late.
   Clock::duration TakeStall(Clock::time_point now);
 
-  // Answers are awaited.
+  // Ensures that a timer is due within kWakeUpInterval. To be called while responses are awaited.
   void WakeUpSoon(Clock::time_point now) { timers_.EnsureWakeUpBy(now + kWakeUpInterval); }
 
  private:
@@ -31,7 +31,7 @@
   TimerQueue& timers_;
   Log& log_;
   Clock::time_point last_call_at_ = Clock::now();
-  Clock::time_point next_line_at_{};
+  Clock::time_point next_log_line_at_{};
 };
 
 }  // namespace gateway::net
--- a/src/net/timer_queue.cpp
+++ b/src/net/timer_queue.cpp
@@ -21,13 +21,14 @@
   armed_for_ = entries_.top().due;
   timer_.expires_at(*armed_for_);
   timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) RunDue();
+    if (!cancelled) RunDueTimers();
   });
 }
 
-// Takes all that are due off the queue before the first is handled: a timer that a handler adds for now waits
-// for the next wake-up, so that handlers which keep adding such timers cannot hold the event loop.
-void TimerQueue::RunDue() {
+// Removes all due timers from the queue before the first is handled. A timer that a handler adds for the
+// current time waits for the next wake-up, so that handlers that keep adding such timers cannot block the
+// event loop.
+void TimerQueue::RunDueTimers() {
   handler_->OnTimersDue();
   auto now = Clock::now();
   armed_for_.reset();
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -1,4 +1,4 @@
-// The gateway's timers: request deadlines and the policy's own, on one timer of the event loop.
+// The timers of the gateway: request deadlines and policy timers, multiplexed on one timer of the event loop.
 #ifndef GATEWAY_NET_TIMER_QUEUE_H_
 #define GATEWAY_NET_TIMER_QUEUE_H_
 
@@ -13,30 +13,30 @@
 
 namespace gateway::net {
 
-// A timer cannot be cancelled: whoever handles it finds out that its subject is gone.
+// Timers cannot be cancelled. The handler must check whether the object of a timer still exists.
 class TimerQueue {
  public:
-  // Called from the event loop only. All callbacks may add timers.
+  // Called only from the event loop. All callbacks may add timers.
   class Handler {
    public:
-    virtual void OnTimersDue() = 0;  // before those of one wake-up are handled
+    virtual void OnTimersDue() = 0;  // called before the timers of one wake-up are handled
     virtual void OnRequestDeadline(uint32_t request_id) = 0;
     virtual void OnPolicyTimer(uint64_t tag) = 0;
-    virtual void OnTimersHandled() = 0;  // after all that were due at one wake-up
+    virtual void OnTimersHandled() = 0;  // called after the timers of one wake-up have been handled
 
    protected:
     ~Handler() = default;
   };
 
-  // `handler` outlives the queue.
+  // `handler` must outlive the queue.
   TimerQueue(asio::io_context& io, Handler* handler) : handler_(handler), timer_(io) {}
 
   void AddRequestDeadline(Clock::time_point due, uint32_t request_id);
   void AddPolicyTimer(Clock::time_point due, uint64_t tag);
-  // Wakes up the event loop by then, if no timer is due earlier.
+  // Ensures that a timer is due at `due` or earlier.
   void EnsureWakeUpBy(Clock::time_point due);
 
-  // When the next timer is due; none while those that were due are being handled.
+  // Returns when the next timer is due, or nothing if there is none or due timers are being handled.
   std::optional<Clock::time_point> next_due() const { return armed_for_; }
 
  private:
@@ -50,10 +50,10 @@
 
   void Add(const Entry& entry);
   void Arm();
-  void RunDue();
+  void RunDueTimers();
 
   Handler* const handler_;
-  std::priority_queue<Entry, std::vector<Entry>, std::greater<>> entries_;  // the next due on top
+  std::priority_queue<Entry, std::vector<Entry>, std::greater<>> entries_;  // the earliest on top
   asio::steady_timer timer_;
   std::optional<Clock::time_point> armed_for_;
 };
