--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,4 +1,4 @@
-// Where the gateway's log lines go.
+// The interface of the gateway's log.
 #ifndef GATEWAY_NET_LOG_H_
 #define GATEWAY_NET_LOG_H_
 
@@ -9,15 +9,16 @@
 
 class Log {
  public:
-  // Adds one line: an event's name in snake_case, then key=value. `line` has no line end. Never waits, and
-  // may lose the line.
+  // Writes one line, which consists of the event name in snake_case and key=value pairs, without a newline.
+  // Never blocks, and may drop the line.
   virtual void Write(std::string_view line) = 0;
 
  protected:
   ~Log() = default;
 };
 
-// A value of any text, in quotation marks, for a line's key=value. Marks and backslashes in it are escaped.
+// Returns any text in quotation marks as the value of a key=value pair. Quotation marks and backslashes in
+// the text are escaped.
 inline std::string QuotedLogValue(std::string_view text) {
   std::string quoted = "\"";
   for (char c : text) {
--- a/src/net/log_descriptor.cpp
+++ b/src/net/log_descriptor.cpp
@@ -13,7 +13,7 @@
 namespace gateway::net {
 
 LogDescriptor::LogDescriptor(int descriptor) : descriptor_(descriptor), method_(MethodFor(descriptor)) {
-  if (method_ == Method::kWriteNoWait && OpenAnew()) method_ = Method::kWrite;
+  if (method_ == Method::kWriteNoWait && ReopenNonBlocking()) method_ = Method::kWrite;
 }
 
 LogDescriptor::~LogDescriptor() {
@@ -28,9 +28,9 @@
   return Method::kWriteNoWait;
 }
 
-// An open file of our own for the same pipe or terminal, which may be non-blocking without changing the one
-// that is shared. Fails where the pipe belongs to another user.
-bool LogDescriptor::OpenAnew() {
+// Opens the same pipe or terminal again. The new open file description can be non-blocking without affecting
+// the shared one. Fails if the pipe belongs to another user.
+bool LogDescriptor::ReopenNonBlocking() {
   std::string path = "/proc/self/fd/" + std::to_string(descriptor_);
   int opened = open(path.c_str(), O_WRONLY | O_NONBLOCK | O_NOCTTY | O_CLOEXEC);
   if (opened < 0) return false;
--- a/src/net/log_descriptor.h
+++ b/src/net/log_descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor for the log, written to without waiting for whoever reads it.
+// A file descriptor for the log that is written to without blocking.
 #ifndef GATEWAY_NET_LOG_DESCRIPTOR_H_
 #define GATEWAY_NET_LOG_DESCRIPTOR_H_
 
@@ -7,39 +7,39 @@
 
 namespace gateway::net {
 
-// Writes what there is room for at once. The descriptor may be a pipe, a terminal, a socket or a file, and
-// its open file may be shared with other processes: it is never set to non-blocking, which would change it
-// for them too.
+// Writes as many bytes as the descriptor accepts without blocking. The descriptor may be a pipe, a terminal,
+// a socket or a file. It is never set to non-blocking, because other processes may share its open file
+// description and would be affected too.
 //
-// Invariant: a write of at most PIPE_BUF bytes to a pipe goes out complete or not at all.
+// Invariant: a write of at most PIPE_BUF bytes to a pipe is written completely or not at all.
 class LogDescriptor {
  public:
-  // Does not take ownership. Is to be constructed before the process opens other descriptors: one that is
-  // closed now is never written to, whatever gets its number later.
+  // Does not take ownership. Must be constructed before the process opens other descriptors: if `descriptor`
+  // is closed now, nothing is ever written to it, even if another file gets the same number later.
   explicit LogDescriptor(int descriptor);
   ~LogDescriptor();
   LogDescriptor(const LogDescriptor&) = delete;
   LogDescriptor& operator=(const LogDescriptor&) = delete;
 
-  // Returns how many bytes of `text` were written: 0 where there is no room, or nobody to read them.
+  // Returns how many bytes of `text` were written; 0 if there is no room or the write fails.
   size_t Write(std::string_view text);
 
  private:
   enum class Method {
-    kNone,          // the descriptor is closed
-    kWrite,         // a file: there is always room. Or an open file of our own that is non-blocking
-    kSend,          // a socket: each call says that it does not wait
-    kWriteNoWait,   // the same for a pipe or terminal, where the kernel offers it
-    kPollAndWrite,  // asks for room first. Another process may take it in between
+    kNone,          // nothing is written, because the descriptor is closed
+    kWrite,         // write() to a regular file, or to a non-blocking open file description of our own
+    kSend,          // send() with MSG_DONTWAIT to a socket
+    kWriteNoWait,   // pwritev2() with RWF_NOWAIT to a pipe or terminal, if the kernel supports it
+    kPollAndWrite,  // poll() and write(), which may block if another process fills the pipe in between
   };
 
   static Method MethodFor(int descriptor);
-  bool OpenAnew();
+  bool ReopenNonBlocking();
   long WriteOnce(std::string_view text);
 
   int descriptor_;
   Method method_;
-  bool owned_ = false;  // opened here
+  bool owned_ = false;  // whether the descriptor was opened by this object
 };
 
 }  // namespace gateway::net
--- a/src/net/non_blocking_log.cpp
+++ b/src/net/non_blocking_log.cpp
@@ -11,8 +11,9 @@
 constexpr auto kRetryInterval = std::chrono::seconds(1);
 constexpr std::string_view kTruncationMark = "...";
 
-// The line as it is written: on one line, within the bound, with its end.
-std::string Terminated(std::string_view text) {
+// Returns the text as one log line: truncated to the maximum length, without control characters, and with a
+// newline at its end.
+std::string FormatLine(std::string_view text) {
   constexpr size_t kMaxTextBytes = NonBlockingLog::kMaxLineBytes - 1;
   std::string line(text.substr(0, kMaxTextBytes));
   if (text.size() > kMaxTextBytes) {
@@ -28,15 +29,16 @@
 NonBlockingLog::NonBlockingLog(asio::io_context& io, LogDescriptor* descriptor)
     : descriptor_(descriptor), retry_timer_(io) {}
 
-NonBlockingLog::~NonBlockingLog() { WriteDue(); }
+NonBlockingLog::~NonBlockingLog() { WritePending(); }
 
 void NonBlockingLog::Write(std::string_view line) {
-  if (!WriteDue() || !WriteLine(Terminated(line))) ++dropped_lines_;
+  if (!WritePending() || !WriteLine(FormatLine(line))) ++dropped_lines_;
   RetryLater();
 }
 
-// What has to be written before any further line. False where there is no room for it.
-bool NonBlockingLog::WriteDue() {
+// Writes what must precede any further line: the rest of an incomplete line and the count of dropped lines.
+// Returns false if there is no room for all of it.
+bool NonBlockingLog::WritePending() {
   if (!unwritten_.empty()) {
     unwritten_.erase(0, descriptor_->Write(unwritten_));
     if (!unwritten_.empty()) return false;
@@ -47,7 +49,7 @@
   return unwritten_.empty();
 }
 
-// False where nothing of the line was written.
+// Returns false if nothing of the line was written.
 bool NonBlockingLog::WriteLine(std::string line) {
   size_t written = descriptor_->Write(line);
   if (written == 0) return false;
@@ -56,16 +58,16 @@
   return true;
 }
 
-// Where no further line comes, the rest and the count are written all the same.
+// Ensures that the rest of a line and the count of dropped lines are written even if no further line follows.
 void NonBlockingLog::RetryLater() {
-  bool due = dropped_lines_ > 0 || !unwritten_.empty();
-  if (!due || retry_pending_) return;
+  bool pending = dropped_lines_ > 0 || !unwritten_.empty();
+  if (!pending || retry_pending_) return;
   retry_pending_ = true;
   retry_timer_.expires_after(kRetryInterval);
   retry_timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     retry_pending_ = false;
-    WriteDue();
+    WritePending();
     RetryLater();
   });
 }
--- a/src/net/non_blocking_log.h
+++ b/src/net/non_blocking_log.h
@@ -1,4 +1,4 @@
-// The log of the process: lines on a descriptor that nobody may be reading.
+// The log of the process, which keeps the process running even if nobody reads the log.
 #ifndef GATEWAY_NET_NON_BLOCKING_LOG_H_
 #define GATEWAY_NET_NON_BLOCKING_LOG_H_
 
@@ -12,20 +12,20 @@
 
 namespace gateway::net {
 
-// A line for which there is no room is dropped and counted. As soon as there is room again, and before any
-// other line, "log_resumed log_lines_dropped=N" is written. Guards against a log collector that hangs: a
-// gateway that waited for it would answer nobody.
+// A line for which the descriptor has no room is dropped and counted. As soon as there is room again, and
+// before any other line, "log_resumed log_lines_dropped=N" is written. A gateway that waited for a log
+// collector that hangs could not answer any request.
 //
-// Invariants: no line is cut in two by another one; a line has at most kMaxLineBytes, its end included, and
-// only printable characters.
+// Invariants: lines are never interleaved. A line has at most kMaxLineBytes including its newline, and no
+// control characters.
 class NonBlockingLog final : public Log {
  public:
-  // Below PIPE_BUF, so that a line goes into a pipe complete or not at all.
+  // Below PIPE_BUF, so that a line is written to a pipe completely or not at all.
   static constexpr size_t kMaxLineBytes = 1024;
 
-  // `descriptor` outlives the log.
+  // `descriptor` must outlive the log.
   NonBlockingLog(asio::io_context& io, LogDescriptor* descriptor);
-  // Writes what is due, as far as there is room.
+  // Writes the rest of an incomplete line and the count of dropped lines if there is room for them.
   ~NonBlockingLog();
   NonBlockingLog(const NonBlockingLog&) = delete;
   NonBlockingLog& operator=(const NonBlockingLog&) = delete;
@@ -33,12 +33,12 @@
   void Write(std::string_view line) override;
 
  private:
-  bool WriteDue();
+  bool WritePending();
   bool WriteLine(std::string line);
   void RetryLater();
 
   LogDescriptor* const descriptor_;
-  std::string unwritten_;  // rest of a line whose first part is written
+  std::string unwritten_;  // the rest of a line of which only the first part has been written
   size_t dropped_lines_ = 0;
   asio::steady_timer retry_timer_;
   bool retry_pending_ = false;
--- a/src/net/process_times.h
+++ b/src/net/process_times.h
@@ -1,4 +1,4 @@
-// What the process's clocks say, for the log.
+// The clock readings of the process, formatted for the log.
 #ifndef GATEWAY_NET_PROCESS_TIMES_H_
 #define GATEWAY_NET_PROCESS_TIMES_H_
 
@@ -6,9 +6,9 @@
 
 namespace gateway::net {
 
-// "monotonic_s= system_s= cpu_s=": the monotonic clock, the system's clock (seconds since 1970) and the
-// processor time that the process has used so far. Lines of one process that carry them tell a process that
-// waited, or had no core, from one that computed, and a clock that was set from time that passed.
+// Returns "monotonic_s=N system_s=N cpu_s=N": the monotonic clock, the system clock (seconds since 1970) and
+// the CPU time that the process has used so far. Comparing two log lines of a process shows whether it
+// computed, or waited or had no core, and whether the system clock was set in between.
 std::string FormatProcessTimes();
 
 }  // namespace gateway::net
