--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,8 +1,9 @@
-// api-gateway: runs one gateway by the configuration file that the environment variable LB_CONFIG names.
+// api-gateway: runs one gateway with the configuration file that the environment variable LB_CONFIG names.
 //
-// SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reads the configuration file again. Log lines go to
-// standard error (net/non_blocking_log.h): an event's name, then key=value. The exit status is 0 after a
-// shutdown, and 1 with one line of error where the gateway cannot start or go on.
+// SIGTERM and SIGINT start a graceful shutdown, and SIGHUP reloads the configuration file. Log lines are
+// written to standard error (net/non_blocking_log.h) and consist of the event name and key=value pairs. The
+// exit status is 0 after a shutdown. If the gateway cannot start or continue, it writes one error line and
+// exits with status 1.
 #include <unistd.h>
 
 #include <csignal>
@@ -29,7 +30,7 @@
   const char* file_name = std::getenv(kConfigVariable);
   if (file_name == nullptr) {
     throw config::ConfigError(kConfigVariable,
-                              std::string(kConfigVariable) + " does not name the configuration");
+                              std::string(kConfigVariable) + " does not name the configuration file");
   }
   return file_name;
 }
@@ -41,8 +42,8 @@
              net::FormatProcessTimes());
 }
 
-// Of a new configuration only the addresses of discovery and counter are applied; what else differs is named
-// in the log. One that cannot be used changes nothing.
+// Applies only the addresses of discovery and counter from the new configuration. All other keys that differ
+// are listed in the log. An invalid configuration changes nothing.
 void Reload(const std::string& file_name, net::Gateway* gateway, net::Log* log) {
   try {
     std::string line = "configuration_reloaded applied=addresses";
@@ -56,7 +57,7 @@
   }
 }
 
-void AwaitShutdown(boost::asio::signal_set* signals, net::Gateway* gateway, net::Log* log) {
+void AwaitShutdownSignal(boost::asio::signal_set* signals, net::Gateway* gateway, net::Log* log) {
   signals->async_wait([=](error_code cancelled, int /*signal*/) {
     if (cancelled) return;
     log->Write("shutdown_started");
@@ -64,42 +65,43 @@
   });
 }
 
-void AwaitReloads(boost::asio::signal_set* signals, const std::string& file_name, net::Gateway* gateway,
-                  net::Log* log) {
+void AwaitReloadSignals(boost::asio::signal_set* signals, const std::string& file_name, net::Gateway* gateway,
+                        net::Log* log) {
   signals->async_wait([=](error_code cancelled, int /*signal*/) {
     if (cancelled) return;
     Reload(file_name, gateway, log);
-    AwaitReloads(signals, file_name, gateway, log);
+    AwaitReloadSignals(signals, file_name, gateway, log);
   });
 }
 
-// Blocks the gateway's signals at the end of its scope, for the rest of the process. Guards against a signal
-// after the event loop: a signal set that is destroyed gives its signals their default action back, which
-// would end the process with another status than its own.
-class SignalsBlockedFromScopeEnd {
+// Blocks the gateway's signals from the end of its scope until the process exits. When a signal set is
+// destroyed, its signals get their default action back. A signal that arrives after the event loop has ended
+// would then terminate the process with a wrong exit status.
+class ScopeExitSignalBlocker {
  public:
-  SignalsBlockedFromScopeEnd() = default;
-  ~SignalsBlockedFromScopeEnd() {
+  ScopeExitSignalBlocker() = default;
+  ~ScopeExitSignalBlocker() {
     sigset_t signals;
     sigemptyset(&signals);
     for (int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, signal);
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   }
-  SignalsBlockedFromScopeEnd(const SignalsBlockedFromScopeEnd&) = delete;
-  SignalsBlockedFromScopeEnd& operator=(const SignalsBlockedFromScopeEnd&) = delete;
+  ScopeExitSignalBlocker(const ScopeExitSignalBlocker&) = delete;
+  ScopeExitSignalBlocker& operator=(const ScopeExitSignalBlocker&) = delete;
 };
 
 void Run(boost::asio::io_context& io, net::Log* log) {
   std::string file_name = ConfigFileName();
-  // Before all else, so that a signal during the start is handled after it, not by the default action.
+  // Created first, so that a signal during the start is handled after the start and not by its default
+  // action.
   boost::asio::signal_set shutdown_signals(io, SIGTERM, SIGINT);
   boost::asio::signal_set reload_signals(io, SIGHUP);
-  SignalsBlockedFromScopeEnd blocked_at_exit;  // after the sets, so that it ends before them
+  ScopeExitSignalBlocker signal_blocker;  // declared after the sets, so that it is destroyed before them
 
   config::GatewayConfig config = config::LoadGatewayConfig(file_name);
   net::Gateway gateway(io, config, log);
-  AwaitShutdown(&shutdown_signals, &gateway, log);
-  AwaitReloads(&reload_signals, file_name, &gateway, log);
+  AwaitShutdownSignal(&shutdown_signals, &gateway, log);
+  AwaitReloadSignals(&reload_signals, file_name, &gateway, log);
   LogListening(config, gateway.local_endpoint(), log);
   io.run();
 }
@@ -108,8 +110,8 @@
 }  // namespace gateway
 
 int main() {
-  std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection is an error of that write
-  gateway::net::LogDescriptor standard_error(STDERR_FILENO);  // before other descriptors are opened
+  std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection then fails with an error
+  gateway::net::LogDescriptor standard_error(STDERR_FILENO);  // created before other descriptors are opened
   boost::asio::io_context io(1);
   gateway::net::NonBlockingLog log(io, &standard_error);
   try {
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,5 +1,5 @@
-// The clock of everything on sockets: monotonic, unlike the policy's, which is in seconds of the system's
-// clock.
+// The monotonic clock of the network code, with conversions. The policy's time is different: it is given in
+// seconds of the system clock.
 #ifndef GATEWAY_NET_CLOCK_H_
 #define GATEWAY_NET_CLOCK_H_
 
@@ -17,7 +17,7 @@
 
 inline double ToSeconds(Clock::duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// In seconds with three decimals, as the log has times.
+// Formats a duration in seconds with three decimals, the format of times in the log.
 inline std::string FormatSeconds(Clock::duration duration) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.3f", ToSeconds(duration));
--- a/src/net/connection_limits.cpp
+++ b/src/net/connection_limits.cpp
@@ -7,25 +7,26 @@
 namespace gateway::net {
 namespace {
 
-// Neither a client's nor a backend's: log, epoll, timer, listener, counter, discovery.
+// Descriptors that are used neither for clients nor for backends: log, epoll, timer, listener, counter and
+// discovery.
 constexpr int kReservedDescriptors = 48;
-constexpr double kClientShare = 0.6;  // of the other descriptors
+constexpr double kClientDescriptorShare = 0.6;  // share of the other descriptors that is available to clients
 
 constexpr double kBytesPerMb = 1 << 20;
-constexpr double kProcessMb = 8;
-// A client's exchange keeps its request, the copy of it that goes to a backend, and the response.
-constexpr double kMaxExchangeMb = 3.0 * (kMaxBodyBytes + kMaxHeaderBytes) / kBytesPerMb;
+constexpr double kBaseProcessMb = 8;  // memory of the process without connections
+// Per client, the request, its copy for the backend and the response are kept in memory.
+constexpr double kMaxMbPerClient = 3.0 * (kMaxBodyBytes + kMaxHeaderBytes) / kBytesPerMb;
 
 }  // namespace
 
 size_t MaxClientConnections(const config::GatewayConfig& config) {
-  double by_descriptors = (config.max_sockets - kReservedDescriptors) * kClientShare;
-  double by_memory = (config.max_memory_mb - kProcessMb) / kMaxExchangeMb;
+  double by_descriptors = (config.max_sockets - kReservedDescriptors) * kClientDescriptorShare;
+  double by_memory = (config.max_memory_mb - kBaseProcessMb) / kMaxMbPerClient;
   return static_cast<size_t>(std::max(1.0, std::min(by_descriptors, by_memory)));
 }
 
 size_t MaxBackendConnections(const config::GatewayConfig& config) {
-  return static_cast<size_t>((config.max_sockets - kReservedDescriptors) * (1 - kClientShare));
+  return static_cast<size_t>((config.max_sockets - kReservedDescriptors) * (1 - kClientDescriptorShare));
 }
 
 }  // namespace gateway::net
--- a/src/net/connection_limits.h
+++ b/src/net/connection_limits.h
@@ -1,4 +1,4 @@
-// How the gateway's limits on descriptors and memory are shared out among its connections.
+// Derives the limits on client and backend connections from the gateway's limits on descriptors and memory.
 #ifndef GATEWAY_NET_CONNECTION_LIMITS_H_
 #define GATEWAY_NET_CONNECTION_LIMITS_H_
 
@@ -8,10 +8,10 @@
 
 namespace gateway::net {
 
-// Bounded by descriptors and by memory; at least 1.
+// Limited by descriptors and by memory, but at least 1.
 size_t MaxClientConnections(const config::GatewayConfig& config);
 
-// Bounded by the descriptors that are not the clients'.
+// Limited by the descriptors that are not available to client connections.
 size_t MaxBackendConnections(const config::GatewayConfig& config);
 
 }  // namespace gateway::net
