--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -64,7 +64,8 @@
   // those with unread bytes.
   void CloseIncomplete();
 
-  size_t incomplete() const { return incomplete_.size(); }
+  // The number of sessions that can be evicted as incomplete.
+  size_t incomplete_count() const { return incomplete_.size(); }
   // Whether no connection is open and none is waiting to be accepted.
   bool HasNoConnections();
 
--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -78,10 +78,10 @@
   std::string request = Post("body");
   auto incomplete = s.Connect();
   incomplete->Write(request.substr(0, 20));
-  s.RunUntil([&] { return s.server.incomplete() == 1; });
+  s.RunUntil([&] { return s.server.incomplete_count() == 1; });
   auto fresh = s.Connect();  // before the rest, so that it is accepted first
   incomplete->Write(request.substr(20));
-  s.RunUntil([&] { return s.requests.size() == 1 || s.server.incomplete() == 0; });
+  s.RunUntil([&] { return s.requests.size() == 1 || s.server.incomplete_count() == 0; });
   ASSERT_EQ(s.requests.size(), 1u);
   s.Reply(0, "response");
   EXPECT_EQ(incomplete->Read().body, "response");
@@ -93,7 +93,7 @@
   ClientServerFixture s(2);
   auto incomplete = s.Connect();
   incomplete->Write(Post("body").substr(0, 20));
-  s.RunUntil([&] { return s.server.incomplete() == 1; });
+  s.RunUntil([&] { return s.server.incomplete_count() == 1; });
   auto fresh = s.Connect();
   fresh->Write(Post("new"));
   s.RunUntil([&] { return s.requests.size() == 1; });
@@ -139,7 +139,7 @@
   auto client = s.Connect();
   std::string request = Post("one");
   client->Write(request.substr(0, 20));
-  s.RunUntil([&] { return s.server.incomplete() == 1; });
+  s.RunUntil([&] { return s.server.incomplete_count() == 1; });
   client->Write(request.substr(20));
   s.RunUntil([&] { return s.requests.size() == 1; });
   s.Reply(0, "first");
