--- a/src/net/event_loop_monitor.cpp
+++ b/src/net/event_loop_monitor.cpp
@@ -25,8 +25,8 @@
   return now - last_call_at;
 }
 
-// A process that was stalled reads requests late and measures their time only from then on. For the operators
-// this log line is the sign that a response was late or missing because of a stall and not because of a
+// A process that was stalled reads requests late and measures their time only from then on. The log line
+// tells operators that a response may have been late or missing because of a stall, and not because of a
 // decision of the gateway.
 void EventLoopMonitor::LogIfLate(Clock::duration late, Clock::time_point now) {
   if (late < kMinLoggedStall || now < next_log_line_at_) return;
--- a/src/net/in_flight_requests.h
+++ b/src/net/in_flight_requests.h
@@ -24,7 +24,8 @@
   bool in_flight = false;
 };
 
-// One request, from its arrival until it has been answered and none of its attempts is in flight.
+// A client's request. It is kept from its arrival until it has been answered and none of its attempts is in
+// flight.
 struct InFlightRequest {
   uint64_t connection_id = 0;  // connection to the client
   std::string client_request_id;
--- a/src/net/non_blocking_log.h
+++ b/src/net/non_blocking_log.h
@@ -1,4 +1,4 @@
-// The log of the process, which keeps the process running even if nobody reads the log.
+// The log of the process, which never blocks the process even if nothing reads the log.
 #ifndef GATEWAY_NET_NON_BLOCKING_LOG_H_
 #define GATEWAY_NET_NON_BLOCKING_LOG_H_
 
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -44,7 +44,7 @@
   struct Entry {
     Clock::time_point due;
     Kind kind;
-    uint64_t tag;
+    uint64_t tag;  // request id or tag of a policy timer, depending on `kind`
     bool operator>(const Entry& other) const { return due > other.due; }
   };
 
@@ -55,7 +55,7 @@
   Handler* const handler_;
   std::priority_queue<Entry, std::vector<Entry>, std::greater<>> entries_;  // the earliest on top
   asio::steady_timer timer_;
-  std::optional<Clock::time_point> armed_for_;
+  std::optional<Clock::time_point> armed_for_;  // when timer_ expires
 };
 
 }  // namespace gateway::net
