--- a/lab/backend_model.cpp
+++ b/lab/backend_model.cpp
@@ -47,7 +47,7 @@
   endpoint.zone = index % zones_;
   endpoint.cell = index / kBackendsInCell;
   endpoint.weight = 1;
-  endpoint.started_s = restarted_s;
+  endpoint.started_at_s = restarted_s;
   return endpoint;
 }
 
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -41,8 +41,8 @@
   endpoint.zone = IndexOfName(deployment.zone_names, entry.value("zone", ""));
   endpoint.cell = entry.value("group", 0);
   endpoint.weight = entry.value("weight", 1.0);
-  endpoint.started_s = entry.value("since_ms", 0.0) / kMsPerS;
-  if (!std::isfinite(endpoint.weight) || !std::isfinite(endpoint.started_s)) {
+  endpoint.started_at_s = entry.value("since_ms", 0.0) / kMsPerS;
+  if (!std::isfinite(endpoint.weight) || !std::isfinite(endpoint.started_at_s)) {
     throw DiscoveryError("a figure is not finite");
   }
   return {entry.at("name").get<std::string>(), listed};
--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -298,8 +298,8 @@
   // which this process stood still. Guards against a hold after which all attempts seem to be silent at once.
   bool HasRunForCheckDelay(const InFlightRequest& request, const Backend* backend, double now_s) const {
     const Attempt& last = request.attempts.back();
-    double running_for_s = running_clock_.At(now_s) - last.sent_running_s;
-    bool stalled = now_s - last.sent_s > running_for_s + settings_.timer_resolution_s;
+    double running_for_s = running_clock_.At(now_s) - last.sent_at_running_s;
+    bool stalled = now_s - last.sent_at_s > running_for_s + settings_.timer_resolution_s;
     return !stalled || running_for_s >= retry_policy_.CheckDelayS(request, backend, now_s);
   }
 
@@ -332,7 +332,7 @@
     }
     if (MayHaveRun(outcome.result) && !request->may_have_run) {
       request->may_have_run = true;
-      request->first_run_sent_s = attempt.sent_s;
+      request->first_run_sent_at_s = attempt.sent_at_s;
       request->run_zone = backend != nullptr ? backend->endpoint.zone : -1;
       request->run_cell = backend != nullptr ? backend->endpoint.cell : -1;
     }
--- a/src/policy/endpoint_set.cpp
+++ b/src/policy/endpoint_set.cpp
@@ -20,9 +20,9 @@
     backend = &backends_.emplace_back();
     backend->last_response_s = now_s;
   }
-  bool restarted = endpoint.started_s > 0 && endpoint.started_s != backend->endpoint.started_s;
+  bool restarted = endpoint.started_at_s > 0 && endpoint.started_at_s != backend->endpoint.started_at_s;
   backend->endpoint = endpoint;
-  if (restarted && slow_start->BeginAfterRestart(&backend->warm_up, endpoint.started_s, now_s)) {
+  if (restarted && slow_start->BeginAfterRestart(&backend->warm_up, endpoint.started_at_s, now_s)) {
     backend->outlier.RecordRestart();
   }
 }
--- a/src/policy/events.h
+++ b/src/policy/events.h
@@ -16,7 +16,7 @@
   int zone = 0;
   int cell = 0;  // the group of backends that shares memory of idempotency keys
   double weight = 0;
-  double started_s = 0;  // clock of its last start; 0: long ago
+  double started_at_s = 0;  // clock of its last start; 0: long ago
 };
 
 enum class EndpointUpdateKind {
--- a/src/policy/in_flight_request.h
+++ b/src/policy/in_flight_request.h
@@ -11,9 +11,9 @@
 
 struct Attempt {
   uint32_t backend_id = 0;
-  double sent_s = 0;
+  double sent_at_s = 0;
   bool in_flight = false;
-  double sent_running_s = 0;  // the same by RunningClock
+  double sent_at_running_s = 0;  // the same by RunningClock
 };
 
 struct InFlightRequest {
@@ -33,10 +33,10 @@
   int attempts_in_flight = 0;
   bool finished = false;  // its final answer is given, or its client has left; attempts may be in flight
   bool response_started = false;
-  bool within_quota = false;    // charged to the tenant's quota
-  bool may_have_run = false;    // an attempt that ended may have had its effect:
-  double first_run_sent_s = 0;  // the first such was sent then,
-  int run_zone = 0;             // to a backend of this zone and cell
+  bool within_quota = false;       // charged to the tenant's quota
+  bool may_have_run = false;       // an attempt that ended may have had its effect:
+  double first_run_sent_at_s = 0;  // the first such was sent then,
+  int run_zone = 0;                // to a backend of this zone and cell
   int run_cell = 0;
 };
 
--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -21,7 +21,7 @@
 
 void OutcomeFeedback::Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
                              const AttemptOutcome& outcome, double now_s, Actions* actions) {
-  bool silent = backend->IsSilentSince(attempt.sent_s);
+  bool silent = backend->IsSilentSince(attempt.sent_at_s);
   if (IsFromBackend(outcome.result)) backend->last_response_s = now_s;
   switch (outcome.result) {
     case CallResult::kOk: {
@@ -54,8 +54,8 @@
 // The latency of an answer that is read now. Where the process stood still meanwhile it is known only within
 // bounds; what was expected is taken for it as far as they allow.
 double OutcomeFeedback::LatencyS(const Request& request, const Attempt& attempt, double now_s) const {
-  double longest_s = now_s - attempt.sent_s;
-  double shortest_s = std::min(longest_s, running_clock_.At(now_s) - attempt.sent_running_s);
+  double longest_s = now_s - attempt.sent_at_s;
+  double shortest_s = std::min(longest_s, running_clock_.At(now_s) - attempt.sent_at_running_s);
   return std::clamp(estimator_.ExpectedLatencyS(request), shortest_s, longest_s);
 }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -27,7 +27,7 @@
   if (!request.may_have_run || request_class.idempotency == Idempotency::kIdempotent) return true;
   if (request_class.idempotency == Idempotency::kNonIdempotent) return false;
   // What is sent now may leave only when its connection has come up.
-  double window_end_s = request.first_run_sent_s + request_class.deduplication_window_s -
+  double window_end_s = request.first_run_sent_at_s + request_class.deduplication_window_s -
                         kDeduplicationMarginResolutions * settings_.timer_resolution_s;
   return now_s + settings_.connect_timeout_s < window_end_s;
 }
@@ -52,7 +52,7 @@
                                       double now_s) const {
   // A backend that hangs answers nobody, where a busy one would answer others meanwhile.
   const Attempt& last = request.attempts.back();
-  if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_s)) return false;
+  if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_at_s)) return false;
   if (request.attempts_in_flight != 1 || budget_ < 1) return false;
   return ClassOf(request).idempotency == Idempotency::kIdempotent && EffectAllowsAttempt(request, now_s);
 }
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -86,7 +86,7 @@
   endpoint.id = in->Read<uint32_t>("entry backend");
   endpoint.cell = in->Read<uint16_t>("entry cell");
   endpoint.weight = in->Read<float>("entry weight");
-  endpoint.started_s = in->Read<double>("entry start time");
+  endpoint.started_at_s = in->Read<double>("entry start time");
   return endpoint;
 }
 
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -16,7 +16,7 @@
 
 // Discovery lists a new start of the first backend.
 void RestartFirstBackend(PolicyFixture* gateway, double started_s) {
-  gateway->UpdateEndpoints(EndpointUpdateKind::kDelta, {{.id = kFirstBackendId, .started_s = started_s}});
+  gateway->UpdateEndpoints(EndpointUpdateKind::kDelta, {{.id = kFirstBackendId, .started_at_s = started_s}});
 }
 
 // Attempts among the actions of the last event that go to a backend of this id or a higher one.
@@ -109,7 +109,7 @@
   settings.counter_enabled = false;
   int forwarded = 0;
   for (uint64_t seed = 1000; seed < 1300; ++seed) {
-    PolicyFixture gateway(settings, {.endpoints = {{.id = 5, .started_s = 99.9}}, .seed = seed});
+    PolicyFixture gateway(settings, {.endpoints = {{.id = 5, .started_at_s = 99.9}}, .seed = seed});
     gateway.SetTime(100.1);
     gateway.Arrive({.tenant = 0});
     forwarded += CountAttemptsFromBackend(gateway, 0);
@@ -135,7 +135,7 @@
     if (i == 50) {
       std::vector<Endpoint> new_backends;
       for (uint32_t k = 0; k < kNewBackends; ++k) {
-        new_backends.push_back({.id = kFirstNewBackendId + k, .started_s = gateway.now_s() - 0.1});
+        new_backends.push_back({.id = kFirstNewBackendId + k, .started_at_s = gateway.now_s() - 0.1});
       }
       gateway.UpdateEndpoints(EndpointUpdateKind::kDelta, new_backends);
     }
--- a/tests/simulator/frame_reader_test.cpp
+++ b/tests/simulator/frame_reader_test.cpp
@@ -58,7 +58,7 @@
   ASSERT_EQ(table.endpoints.size(), 2u);
   EXPECT_EQ(table.endpoints[1].zone, 1);
   EXPECT_EQ(table.endpoints[1].state, policy::EndpointState::kReady);
-  EXPECT_NEAR(table.endpoints[1].started_s, 6.1, 1e-9);
+  EXPECT_NEAR(table.endpoints[1].started_at_s, 6.1, 1e-9);
   EXPECT_EQ(table.endpoints[1].weight, 1.5);
   const EndpointUpdate& update = std::get<EndpointUpdate>(batch.events[1].body);
   EXPECT_EQ(update.kind, policy::EndpointUpdateKind::kCached);
