--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -29,7 +29,7 @@
 // Longest delay after a failed poll of discovery, where the endpoint list is polled.
 constexpr double kMaxPollDelayS = 1;
 // A waiting request is charged, and so reported, in advance where it is at least so likely to be admitted.
-constexpr double kReserveProbability = 0.5;
+constexpr double kMinReserveProbability = 0.5;
 
 }  // namespace
 
@@ -142,7 +142,7 @@
     tenant->quota.Refill(now_s, counter_.IsSilent());
     counter_.ApplyReply(*call, reply, tenant, now_s, actions);
     bool ok = reply.result == CallResult::kOk;
-    if (!tenant->HasCallPending()) DecideWaiting(tenant, ok, now_s, actions);
+    if (!tenant->HasCallPending()) DecideWaitingRequests(tenant, ok, now_s, actions);
     if (ok) counter_.ReportUsage(tenant, now_s, actions);
   }
 
@@ -168,7 +168,7 @@
     }
     InFlightRequest& admitted = in_flight_[request.id] = std::move(arrived);
     Charge(tenant, &admitted, within_quota);
-    if (within_quota) ReportInSamples(tenant, request);
+    if (within_quota) SampleUsageReport(tenant, request);
     Admit(tenant, &admitted, backend, now_s, actions);
     counter_.ReportUsage(tenant, now_s, actions);
   }
@@ -186,7 +186,7 @@
     if (shed && selector_.Select(arrived, now_s, EndpointSelector::Candidates::kWarmingUp) == nullptr) {
       return Reject(request.id, RejectReason::kOverload, actions);
     }
-    bool reserve = assessment.probability_within >= kReserveProbability;
+    bool reserve = assessment.probability_within >= kMinReserveProbability;
     if (reserve) tenant->Reserve(request.cost_units);
     const InFlightRequest& waiting = in_flight_[request.id] = std::move(arrived);
     StartCheckTimer(waiting, nullptr, now_s, actions);
@@ -195,12 +195,12 @@
     // an attempt, that of the rate within a window.
     counter_.ReportConcurrency(tenant, now_s, actions);
     counter_.ReportUsage(tenant, now_s, actions);
-    if (!tenant->HasCallPending()) DecideWaiting(tenant, false, now_s, actions);
+    if (!tenant->HasCallPending()) DecideWaitingRequests(tenant, false, now_s, actions);
   }
 
   // Decides the requests that wait for the counter by what is known now. They were not shed when they
   // arrived, and are not shed now. `counter_replied`: its reply has come, and was no error.
-  void DecideWaiting(Tenant* tenant, bool counter_replied, double now_s, Actions* actions) {
+  void DecideWaitingRequests(Tenant* tenant, bool counter_replied, double now_s, Actions* actions) {
     std::vector<WaitingRequest> waiting;
     waiting.swap(tenant->waiting);
     for (const WaitingRequest& entry : waiting) {
@@ -235,12 +235,12 @@
     if (within_quota) {
       tenant->quota.Charge(cost_units);
     } else {
-      tenant->borrowed.Charge(cost_units, tenant->quota.tokens());
+      tenant->borrowing_allowance.Charge(cost_units, tenant->quota.tokens());
     }
   }
 
   // Of the requests admitted without a lookup only some are reported, each for several.
-  void ReportInSamples(Tenant* tenant, const Request& request) {
+  void SampleUsageReport(Tenant* tenant, const Request& request) {
     TenantQuota& quota = tenant->quota;
     if (!quota.HasRateQuota() || quota.HasSingleGateway()) return;
     double probability = counter_.ReportingProbability(quota.ingress_gateways());
@@ -299,8 +299,8 @@
   bool HasRunForCheckDelay(const InFlightRequest& request, const Backend* backend, double now_s) const {
     const Attempt& last = request.attempts.back();
     double running_for_s = running_clock_.At(now_s) - last.sent_at_running_s;
-    bool stalled = now_s - last.sent_at_s > running_for_s + settings_.timer_resolution_s;
-    return !stalled || running_for_s >= retry_policy_.CheckDelayS(request, backend, now_s);
+    bool was_stalled = now_s - last.sent_at_s > running_for_s + settings_.timer_resolution_s;
+    return !was_stalled || running_for_s >= retry_policy_.CheckDelayS(request, backend, now_s);
   }
 
   // A retry, or a hedged request where an attempt is in flight. Returns false where no further attempt is
--- a/src/policy/concurrency_quota.cpp
+++ b/src/policy/concurrency_quota.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 // Share of the attempts last read that are still in flight, above which the reply counts as exact.
-constexpr double kExactShare = 0.9;
+constexpr double kMinExactShare = 0.9;
 // How long a reply is trusted over the share of earlier requests that were within the cap.
-constexpr double kReplyTrustS = 1;
+constexpr double kReplyTrustDecayS = 1;
 // Over which the mean of the others' attempts is taken.
 constexpr double kMeanAveragingS = 1;
 
@@ -16,9 +16,9 @@
 
 double ConcurrencyQuota::ProbabilityOfRoom(int cap, double attempt_s, double now_s) const {
   int free = cap - attempts_in_flight_;
-  double still_in_flight = others_read_s_ < 0 ? 0 : std::exp(-(now_s - others_read_s_) / attempt_s);
-  if (free <= 0 || still_in_flight > kExactShare) return free > others_ ? 1 : 0;
-  double mean = still_in_flight * others_ + (1 - still_in_flight) * others_mean_;
+  double still_in_flight = others_read_at_s_ < 0 ? 0 : std::exp(-(now_s - others_read_at_s_) / attempt_s);
+  if (free <= 0 || still_in_flight > kMinExactShare) return free > others_attempts_ ? 1 : 0;
+  double mean = still_in_flight * others_attempts_ + (1 - still_in_flight) * others_mean_attempts_;
   double term = std::exp(-mean);
   double sum = 0;
   for (int k = 0; k < free; ++k) {
@@ -34,10 +34,10 @@
   if (attempts_in_flight_ >= cap) return 0;
   double trust = 1;
   if (counter_is_needed) {
-    if (others_read_s_ < 0) {
+    if (others_read_at_s_ < 0) {
       trust = 0;
     } else if (!counter_is_silent) {
-      trust = std::exp(-(now_s - others_read_s_) / kReplyTrustS);
+      trust = std::exp(-(now_s - others_read_at_s_) / kReplyTrustDecayS);
     }
   }
   return trust * probability_of_room + (1 - trust) * prior;
@@ -47,21 +47,21 @@
   auto epoch = static_cast<int64_t>(std::floor(now_s / kEpochS));
   if (epoch != epoch_) {
     epoch_ = epoch;
-    reported_ = 0;
+    reported_attempts_ = 0;
   }
   return epoch;
 }
 
 void ConcurrencyQuota::ApplyReported(int64_t epoch, double change) {
-  if (epoch == epoch_) reported_ += change;
+  if (epoch == epoch_) reported_attempts_ += change;
 }
 
 void ConcurrencyQuota::ApplyTotal(int64_t epoch, double total, double now_s) {
   if (epoch != epoch_) return;
-  double weight = others_read_s_ < 0 ? 1 : 1 - std::exp(-(now_s - others_read_s_) / kMeanAveragingS);
-  others_ = std::max(0.0, total - reported_);
-  others_mean_ += weight * (others_ - others_mean_);
-  others_read_s_ = now_s;
+  double weight = others_read_at_s_ < 0 ? 1 : 1 - std::exp(-(now_s - others_read_at_s_) / kMeanAveragingS);
+  others_attempts_ = std::max(0.0, total - reported_attempts_);
+  others_mean_attempts_ += weight * (others_attempts_ - others_mean_attempts_);
+  others_read_at_s_ = now_s;
 }
 
 }  // namespace gateway::policy
--- a/src/policy/concurrency_quota.h
+++ b/src/policy/concurrency_quota.h
@@ -38,7 +38,7 @@
   // The epoch that a report made now belongs to. Starts it where it is new.
   int64_t AdvanceEpoch(double now_s);
   // Change of the own attempts since the last report of this epoch.
-  double unreported_change() const { return attempts_in_flight_ - reported_; }
+  double unreported_change() const { return attempts_in_flight_ - reported_attempts_; }
   // A report of `change` may have been added, or surely was.
   void ApplyReported(int64_t epoch, double change);
   // The total that came with a report.
@@ -47,10 +47,10 @@
  private:
   int attempts_in_flight_ = 0;  // of this gateway
   int64_t epoch_ = 0;
-  double reported_ = 0;        // own attempts as told to the counter in this epoch
-  double others_ = 0;          // the other gateways' attempts, as last read
-  double others_mean_ = 0;     // mean of that
-  double others_read_s_ = -1;  // clock of the last read; -1: none
+  double reported_attempts_ = 0;     // own attempts as told to the counter in this epoch
+  double others_attempts_ = 0;       // the other gateways' attempts, as last read
+  double others_mean_attempts_ = 0;  // mean of that
+  double others_read_at_s_ = -1;     // clock of the last read; -1: none
 };
 
 }  // namespace gateway::policy
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -25,7 +25,7 @@
 constexpr double kUnreportedPerPrice = 5;
 constexpr double kMaxUnreportedShare = 0.8;
 // A tenant whose total was never read is looked up by itself while fewer go unreported than this.
-constexpr double kLookupUnreportedShare = 0.5;
+constexpr double kMaxLookupUnreportedShare = 0.5;
 // The counter may forget a key so many windows, or epochs, after the last call. Its own limit is a minute.
 constexpr double kUsageExpiryWindows = 3;
 constexpr double kPreviousUsageExpiryWindows = 2;
@@ -59,7 +59,7 @@
   TenantQuota& quota = tenant->quota;
   if (!settings_.counter_enabled || !quota.HasRateQuota()) return;
   if (tenant->usage_call_pending || !MayCall(now_s)) return;
-  bool lookup = !quota.IsKnown() && UnreportedShare() < kLookupUnreportedShare;
+  bool lookup = !quota.IsOthersUsageKnown() && UnreportedShare() < kMaxLookupUnreportedShare;
   if (!lookup && tenant->waiting.empty() && !quota.IsReportDue(now_s)) return;
   Call call{Call::Kind::kUsage, tenant->id, quota.window(), quota.unreported_units(), now_s};
   if (!StartCall(call, kUsageExpiryWindows * WindowSeconds(quota.plan()), actions)) return;
@@ -82,32 +82,32 @@
 void CounterSchedule::DeferConcurrencyReport(Tenant* tenant, double now_s, Actions* actions) {
   if (tenant->concurrency_report_deferred) return;
   tenant->concurrency_report_deferred = true;
-  deferred_.push_back(tenant->id);
-  if (deferred_.size() == 1) StartPauseTimer(now_s, actions);
+  deferred_tenant_ids_.push_back(tenant->id);
+  if (deferred_tenant_ids_.size() == 1) StartPauseTimer(now_s, actions);
 }
 
 void CounterSchedule::StartPauseTimer(double now_s, Actions* actions) {
-  double delay_s = std::max(settings_.timer_resolution_s, next_call_s_ - now_s);
+  double delay_s = std::max(settings_.timer_resolution_s, next_call_at_s_ - now_s);
   actions->push_back(StartTimer{delay_s, kPauseOverTag});
 }
 
 void CounterSchedule::ReportDeferred(TenantTable* tenants, double now_s, Actions* actions) {
-  while (!deferred_.empty() && MayCall(now_s)) {
-    Tenant* tenant = tenants->Find(deferred_.front());
-    deferred_.pop_front();
+  while (!deferred_tenant_ids_.empty() && MayCall(now_s)) {
+    Tenant* tenant = tenants->Find(deferred_tenant_ids_.front());
+    deferred_tenant_ids_.pop_front();
     if (tenant == nullptr) continue;
     tenant->concurrency_report_deferred = false;
     ReportConcurrency(tenant, now_s, actions);
   }
-  if (!deferred_.empty()) StartPauseTimer(now_s, actions);
+  if (!deferred_tenant_ids_.empty()) StartPauseTimer(now_s, actions);
 }
 
 bool CounterSchedule::StartCall(const Call& call, double expiry_s, Actions* actions) {
   uint64_t key = CounterKey(call);
   if (!pending_.try_emplace(key, call).second) return false;
   double pause_share = IsSilent() ? 1 : CongestionPrice() * CongestionPrice();
-  next_call_s_ =
-      call.sent_s + pause_share * std::max(kMinSilentPauseS, settings_.gateway_count / kSilentCallsPerS);
+  next_call_at_s_ =
+      call.sent_at_s + pause_share * std::max(kMinSilentPauseS, settings_.gateway_count / kSilentCallsPerS);
   actions->push_back(CallCounter{key, call.amount, std::min(kMaxExpiryS, expiry_s)});
   return true;
 }
@@ -136,13 +136,13 @@
 void CounterSchedule::UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions) {
   bool was_silent = IsSilent();
   bool ok = result == CallResult::kOk;
-  bool quick = ok && now_s - call.sent_s < kSlowReplyTimeouts * settings_.counter_timeout_s;
-  failures_in_a_row_ = ok ? 0 : failures_in_a_row_ + 1;
+  bool quick = ok && now_s - call.sent_at_s < kSlowReplyTimeouts * settings_.counter_timeout_s;
+  consecutive_failures_ = ok ? 0 : consecutive_failures_ + 1;
   double factor = quick ? 1 - kCongestionDecay : 1 + kCongestionGrowth;
   congestion_ = std::clamp(congestion_ * factor, kMinCongestion, kMaxCongestion);
   if (was_silent && !IsSilent()) actions->push_back(LogEvent{"counter_recovered"});
   if (!was_silent && IsSilent()) {
-    actions->push_back(LogEvent{"counter_silent failures=" + std::to_string(failures_in_a_row_)});
+    actions->push_back(LogEvent{"counter_silent failures=" + std::to_string(consecutive_failures_)});
   }
 }
 
@@ -168,10 +168,10 @@
 }
 
 void CounterSchedule::LogLostState(const Tenant& tenant, double now_s, Actions* actions) {
-  if (now_s - lost_state_logged_s_ > kLostStateLogIntervalS) {
+  if (now_s - lost_state_logged_at_s_ > kLostStateLogIntervalS) {
     actions->push_back(LogEvent{"counter_lost_state tenant=" + std::to_string(tenant.id)});
   }
-  lost_state_logged_s_ = now_s;
+  lost_state_logged_at_s_ = now_s;
 }
 
 }  // namespace gateway::policy
--- a/src/policy/counter_schedule.h
+++ b/src/policy/counter_schedule.h
@@ -36,15 +36,15 @@
     uint64_t tenant_id = 0;
     int64_t period = 0;  // window of a usage call, epoch of a concurrency call
     double amount = 0;   // added to the counter's total
-    double sent_s = 0;
+    double sent_at_s = 0;
   };
 
   // `settings` must outlive this.
   explicit CounterSchedule(const Settings& settings) : settings_(settings) {}
 
-  bool IsSilent() const { return failures_in_a_row_ >= kSilentAfterFailures; }
+  bool IsSilent() const { return consecutive_failures_ >= kSilentAfterFailures; }
   // Whether the pause after the last call is over. It is none while the counter keeps up.
-  bool MayCall(double now_s) const { return now_s >= next_call_s_; }
+  bool MayCall(double now_s) const { return now_s >= next_call_at_s_; }
 
   // Price of learning a tenant's total: the call that asks, and at times one that corrects it.
   double LookupPrice() const;
@@ -92,11 +92,11 @@
 
   const Settings& settings_;
   std::unordered_map<uint64_t, Call> pending_;  // by counter key
-  std::deque<uint64_t> deferred_;               // tenants whose change of attempts waits for the pause
-  double next_call_s_ = 0;
+  std::deque<uint64_t> deferred_tenant_ids_;    // tenants whose change of attempts waits for the pause
+  double next_call_at_s_ = 0;
   double congestion_ = kMinCongestion;
-  int failures_in_a_row_ = 0;
-  double lost_state_logged_s_ = -1e9;
+  int consecutive_failures_ = 0;
+  double lost_state_logged_at_s_ = -1e9;
 };
 
 }  // namespace gateway::policy
--- a/src/policy/demand_share.cpp
+++ b/src/policy/demand_share.cpp
@@ -16,23 +16,23 @@
   return tick;
 }
 
-void DemandShare::RecordDemand(BorrowedUnits* tenant, double cost_units, double tokens, double burst_units,
-                               double now_s) {
+void DemandShare::RecordDemand(BorrowingAllowance* allowance, double cost_units, double tokens,
+                               double burst_units, double now_s) {
   int64_t tick = Advance(now_s);
-  if (tenant->demand_tick_ != tick) {
-    if (tenant->demand_tick_ >= 0 && tick - tenant->demand_tick_ < kTicks) {
-      const Tick& last = At(tenant->demand_tick_);
+  if (allowance->last_demand_tick_ != tick) {
+    if (allowance->last_demand_tick_ >= 0 && tick - allowance->last_demand_tick_ < kTicks) {
+      const Tick& last = At(allowance->last_demand_tick_);
       double own_tokens = std::max(0.0, tokens);
       double free_units = std::max(0.0, burst_units - tokens);
       if (!last.under_pressure && last.demand_units > 0 && last.served_units > own_tokens) {
-        double grant = tenant->demand_units_ / last.demand_units * (last.served_units - own_tokens);
-        tenant->units_ = std::min(free_units, tenant->units_ + grant);
+        double grant = allowance->demand_units_ / last.demand_units * (last.served_units - own_tokens);
+        allowance->units_ = std::min(free_units, allowance->units_ + grant);
       }
     }
-    tenant->demand_tick_ = tick;
-    tenant->demand_units_ = 0;
+    allowance->last_demand_tick_ = tick;
+    allowance->demand_units_ = 0;
   }
-  tenant->demand_units_ += cost_units;
+  allowance->demand_units_ += cost_units;
   At(tick).demand_units += cost_units;
 }
 
--- a/src/policy/demand_share.h
+++ b/src/policy/demand_share.h
@@ -9,7 +9,7 @@
 namespace gateway::policy {
 
 // One tenant's part of the rule.
-class BorrowedUnits {
+class BorrowingAllowance {
  public:
   double units() const { return units_; }
 
@@ -20,9 +20,9 @@
 
  private:
   friend class DemandShare;
-  double units_ = 0;          // granted and not used yet
-  int64_t demand_tick_ = -1;  // the last in which the tenant asked; -1: none
-  double demand_units_ = 0;   // V_i: asked for in that tick
+  double units_ = 0;               // granted and not used yet
+  int64_t last_demand_tick_ = -1;  // the last in which the tenant asked; -1: none
+  double demand_units_ = 0;        // V_i: asked for in that tick
 };
 
 // Rule: with each tick a tenant is granted V_i / sum V x (W - mu_i), at most what its bucket has free, where
@@ -37,7 +37,7 @@
 class DemandShare {
  public:
   // Grants the tenant its share for the last tick in which it asked, then adds `cost_units` to its demand.
-  void RecordDemand(BorrowedUnits* tenant, double cost_units, double tokens, double burst_units,
+  void RecordDemand(BorrowingAllowance* allowance, double cost_units, double tokens, double burst_units,
                     double now_s);
   void RecordServed(double cost_units, double now_s);
   void RecordPressure(double now_s);
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -19,7 +19,7 @@
 // since the last answer over kAdjustmentS, so that the adjustment per second does not depend on the rate of
 // answers, but at least kMinStep.
 constexpr double kAdjustmentS = 0.8;
-constexpr double kMaxAdjustmentSpanS = 1;
+constexpr double kMaxAdjustmentIntervalS = 1;
 constexpr double kMinStep = 0.02;
 constexpr double kMaxRelativeError = 2;
 constexpr double kRecoveryPerS = 0.05;
@@ -42,16 +42,16 @@
 
 void LoadShedder::RecordAttemptEnded(double now_s) {
   --attempts_in_flight_;
-  last_outcome_s_ = now_s;
+  last_outcome_at_s_ = now_s;
 }
 
 void LoadShedder::RecordLatency(double latency_share, double now_s) {
-  double span_s = std::min(kMaxAdjustmentSpanS, now_s - latency_recorded_s_);
+  double span_s = std::min(kMaxAdjustmentIntervalS, now_s - latency_recorded_at_s_);
   double step = std::max(kMinStep, span_s / kAdjustmentS);
   double error = latency_share / ConcurrencyLimiter::kQueueLatencyShare - 1;
   admitted_share_ *= std::exp(-step * std::clamp(error, -1.0, kMaxRelativeError));
   admitted_share_ = std::max(admitted_share_, kMinAdmittedShare);
-  latency_recorded_s_ = now_s;
+  latency_recorded_at_s_ = now_s;
   Recover(now_s);
 }
 
@@ -60,19 +60,19 @@
 void LoadShedder::RecordDeadlineExceeded(double now_s) { RecordLatency(kOverloadLatencyShare, now_s); }
 
 void LoadShedder::Recover(double now_s) {
-  admitted_share_ = std::min(1.0, admitted_share_ + kRecoveryPerS * (now_s - recovered_s_));
-  recovered_s_ = now_s;
+  admitted_share_ = std::min(1.0, admitted_share_ + kRecoveryPerS * (now_s - recovered_at_s_));
+  recovered_at_s_ = now_s;
 }
 
 double LoadShedder::RelativeValue(const Request& request) const {
-  double most = 0;
+  double max_value = 0;
   for (size_t i = 0; i < settings_.classes.size(); ++i) {
-    most =
-        std::max(most, settings_.classes[i].priority_weight / estimator_.MeanLatencyS(static_cast<int>(i)));
+    max_value = std::max(max_value,
+                         settings_.classes[i].priority_weight / estimator_.MeanLatencyS(static_cast<int>(i)));
   }
   const ClassSettings& request_class = settings_.ClassAt(request.request_class);
   double value = request_class.priority_weight / estimator_.MeanLatencyS(request.request_class);
-  double relative = most > 0 ? value / most : 1;
+  double relative = max_value > 0 ? value / max_value : 1;
   return IsLateRetry(request) ? relative * request_class.late_value_share : relative;
 }
 
@@ -87,7 +87,7 @@
                              double now_s) {
   Recover(now_s);
   const ClassSettings& request_class = settings_.ClassAt(request.request_class);
-  bool idle = attempts_in_flight_ == 0 && now_s - last_outcome_s_ > request_class.latency_objective_s;
+  bool idle = attempts_in_flight_ == 0 && now_s - last_outcome_at_s_ > request_class.latency_objective_s;
   if (idle && !borrowed) return false;
   double limit_share = kMinLimitShare + (1 - kMinLimitShare) * RelativeValue(request);
   double exponent = (borrowed ? kBorrowedExponent : 1) / limit_share;
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -53,10 +53,10 @@
   RandomSource& random_;
   std::vector<double> max_time_left_s_;  // by class, the most that a request arrived with
   int attempts_in_flight_ = 0;           // of this gateway
-  double last_outcome_s_ = 0;            // clock of the last attempt that ended
+  double last_outcome_at_s_ = 0;         // clock of the last attempt that ended
   double admitted_share_ = 1;
-  double latency_recorded_s_ = 0;
-  double recovered_s_ = 0;
+  double latency_recorded_at_s_ = 0;
+  double recovered_at_s_ = 0;
 };
 
 }  // namespace gateway::policy
--- a/src/policy/quota_check.cpp
+++ b/src/policy/quota_check.cpp
@@ -33,8 +33,8 @@
 void QuotaCheck::RecordDemand(Tenant* tenant, const Request& request, double now_s) {
   TenantQuota& quota = tenant->quota;
   quota.Refill(now_s, counter_.IsSilent());
-  demand_share_.RecordDemand(&tenant->borrowed, request.cost_units, quota.tokens(), quota.plan().burst_units,
-                             now_s);
+  demand_share_.RecordDemand(&tenant->borrowing_allowance, request.cost_units, quota.tokens(),
+                             quota.plan().burst_units, now_s);
 }
 
 QuotaAssessment QuotaCheck::Assess(Tenant* tenant, const Request& request, double now_s) {
@@ -51,7 +51,7 @@
   bool within = quota.HasRoom(request.cost_units, now_s) && CountsAsWithinCap(concurrency_probability, plan);
   if (!quota.HasSingleGateway()) {
     double prior = PriorWithinQuota(*tenant, request, now_s);
-    if (!quota.IsKnown() && !IsWorthAdmitting(prior, loss)) within = false;
+    if (!quota.IsOthersUsageKnown() && !IsWorthAdmitting(prior, loss)) within = false;
     double probability = quota.ProbabilityOfRoom(request.cost_units, now_s, prior,
                                                  settings_.max_request_units, counter_.IsSilent());
     // The two are strained together, and both go by the same prior: the stricter one decides.
@@ -59,7 +59,8 @@
   }
   if (within) {
     assessment.decision = QuotaDecision::kWithinQuota;
-  } else if (AllowsBorrowing(plan) && quota.tokens() + tenant->borrowed.units() >= request.cost_units &&
+  } else if (AllowsBorrowing(plan) &&
+             quota.tokens() + tenant->borrowing_allowance.units() >= request.cost_units &&
              !demand_share_.IsUnderPressure(now_s)) {
     assessment.decision = QuotaDecision::kBorrowed;
   }
@@ -90,7 +91,7 @@
 
 double QuotaCheck::FleetDemandUnitsPerS(const Tenant& tenant, const Request& request, double now_s) {
   return (tenant.requested_units - request.cost_units) * tenant.quota.ingress_gateways() /
-         (now_s - tenant.quota.created_s() + TenantTable::kMinIdleS);
+         (now_s - tenant.quota.created_at_s() + TenantTable::kMinIdleS);
 }
 
 double QuotaCheck::PriorWithinQuota(const Tenant& tenant, const Request& request, double now_s) const {
--- a/src/policy/tenant.cpp
+++ b/src/policy/tenant.cpp
@@ -37,9 +37,9 @@
   if (quota.HasConcurrencyCap()) concurrency.ReleaseReservation();
 }
 
-TenantTable::TenantTable(const Settings& settings, double gateway_started_s)
+TenantTable::TenantTable(const Settings& settings, double gateway_started_at_s)
     : settings_(settings),
-      gateway_started_s_(gateway_started_s),
+      gateway_started_at_s_(gateway_started_at_s),
       within_quota_share_(settings.plans.size(), kInitialWithinQuotaShare) {}
 
 Tenant& TenantTable::RecordRequest(const Request& request, double now_s) {
@@ -48,24 +48,24 @@
     auto plan = static_cast<size_t>(request.plan);
     double max_gateways = std::max(1, settings_.gateway_count);
     double ingress_gateways = std::clamp(request.ingress_gateways, 1.0, max_gateways);
-    TenantQuota quota(settings_.plans[plan], ingress_gateways, gateway_started_s_, now_s);
+    TenantQuota quota(settings_.plans[plan], ingress_gateways, gateway_started_at_s_, now_s);
     Tenant tenant(request.tenant, request.plan, quota, within_quota_share_[plan]);
     it = tenants_.emplace(request.tenant, std::move(tenant)).first;
   }
   Tenant& tenant = it->second;
-  tenant.last_request_s = now_s;
+  tenant.last_request_at_s = now_s;
   tenant.requested_units += request.cost_units;
   return tenant;
 }
 
 void TenantTable::RemoveIdle(double now_s) {
-  if (now_s - checked_s_ < kIdleCheckIntervalS) return;
-  checked_s_ = now_s;
+  if (now_s - idle_checked_at_s_ < kIdleCheckIntervalS) return;
+  idle_checked_at_s_ = now_s;
   std::erase_if(tenants_, [now_s](const auto& entry) {
     const Tenant& tenant = entry.second;
-    if (now_s <= tenant.last_request_s + kMinIdleS) return false;
+    if (now_s <= tenant.last_request_at_s + kMinIdleS) return false;
     if (tenant.HasCallPending() || tenant.concurrency.attempts_in_flight() != 0) return false;
-    return now_s > tenant.last_request_s + IdleTimeoutS(tenant.quota.plan());
+    return now_s > tenant.last_request_at_s + IdleTimeoutS(tenant.quota.plan());
   });
 }
 
--- a/src/policy/tenant.h
+++ b/src/policy/tenant.h
@@ -34,8 +34,8 @@
   int plan_index;
   TenantQuota quota;
   ConcurrencyQuota concurrency;
-  BorrowedUnits borrowed;
-  double last_request_s = 0;
+  BorrowingAllowance borrowing_allowance;
+  double last_request_at_s = 0;
   double requested_units = 0;  // since the tenant was first seen
   double within_quota_share;   // of its requests that waited for the counter, those within the quota
   bool usage_call_pending = false;
@@ -51,7 +51,7 @@
   static constexpr double kMinIdleS = 10;
 
   // `settings` must outlive this.
-  TenantTable(const Settings& settings, double gateway_started_s);
+  TenantTable(const Settings& settings, double gateway_started_at_s);
 
   // The tenant of a request that arrives, created where it is new.
   Tenant& RecordRequest(const Request& request, double now_s);
@@ -69,10 +69,10 @@
 
  private:
   const Settings& settings_;
-  const double gateway_started_s_;
+  const double gateway_started_at_s_;
   std::unordered_map<uint64_t, Tenant> tenants_;
   std::vector<double> within_quota_share_;  // by plan
-  double checked_s_ = 0;
+  double idle_checked_at_s_ = 0;
 };
 
 }  // namespace gateway::policy
--- a/src/policy/tenant_quota.h
+++ b/src/policy/tenant_quota.h
@@ -44,11 +44,11 @@
   };
 
   // `ingress_gateways`: gateways through which the tenant may come, at least 1. The plan must outlive this.
-  TenantQuota(const PlanSettings& plan, double ingress_gateways, double gateway_started_s, double now_s);
+  TenantQuota(const PlanSettings& plan, double ingress_gateways, double gateway_started_at_s, double now_s);
 
   const PlanSettings& plan() const { return *plan_; }
   double ingress_gateways() const { return ingress_gateways_; }
-  double created_s() const { return created_s_; }
+  double created_at_s() const { return created_at_s_; }
   bool HasRateQuota() const { return plan_->rate_units_per_s > 0; }
   bool HasConcurrencyCap() const { return plan_->max_concurrent_attempts > 0; }
   bool HasSingleGateway() const { return ingress_gateways_ < 2; }
@@ -56,7 +56,7 @@
   double unreported_units() const { return unreported_units_; }
   int64_t window() const { return window_; }
   // Whether what the other gateways use is known: a total was read, and no window has been missed since.
-  bool IsKnown() const { return known_; }
+  bool IsOthersUsageKnown() const { return others_usage_known_; }
 
   // Brings buckets and window up to now. Every other call expects that it has been called for its clock.
   void Refill(double now_s, bool counter_is_silent);
@@ -102,20 +102,20 @@
 
   const PlanSettings* plan_;
   double ingress_gateways_;
-  double created_s_;
-  double refilled_s_;
+  double created_at_s_;
+  double refilled_at_s_;
   TokenBucket bucket_;                  // own charges and what the counter tells of others are taken off
   TokenBucket ceiling_;                 // this gateway's part
   double others_rate_units_per_s_ = 0;  // forwarded by the other gateways, as last known
   double own_rate_units_per_s_ = 0;     // forwarded by this one
   int64_t window_ = 0;
-  double starting_deficit_ = 0;     // of this window, until the first total: later totals contain it
-  double spent_units_ = 0;          // starting deficit, plus what this window is known to have used
-  double last_total_ = 0;           // read in this window
-  double total_read_s_ = 0;         // clock of that
-  double unreported_units_ = 0;     // charged here and not yet told to the counter
-  double unknown_spent_units_ = 0;  // charged before the first reply
-  bool known_ = false;
+  double starting_deficit_units_ = 0;       // of this window, until the first total: later totals contain it
+  double spent_units_ = 0;                  // starting deficit, plus what this window is known to have used
+  double last_total_units_ = 0;             // read in this window
+  double total_read_at_s_ = 0;              // clock of that
+  double unreported_units_ = 0;             // charged here and not yet told to the counter
+  double charged_while_unknown_units_ = 0;  // charged before the first reply
+  bool others_usage_known_ = false;
 };
 
 }  // namespace gateway::policy
--- a/tests/policy/quota_check_test.cpp
+++ b/tests/policy/quota_check_test.cpp
@@ -42,8 +42,8 @@
   check.RecordDemand(&borrowing_tenant, borrowing, kNowS + kNextTickS);
   double tokens = borrowing_tenant.quota.tokens();
   double grant = (kServedUnits - tokens) / 2;  // half of the demand was its own
-  EXPECT_NEAR(borrowing_tenant.borrowed.units(), std::min(grant, settings.plans[1].burst_units - tokens),
-              1e-6);
+  EXPECT_NEAR(borrowing_tenant.borrowing_allowance.units(),
+              std::min(grant, settings.plans[1].burst_units - tokens), 1e-6);
 }
 
 }  // namespace
