--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -24,18 +24,19 @@
 namespace gateway::policy {
 namespace {
 
-// Timer tags are request ids, of 32 bits, but for this one.
+// Timer tag of a discovery poll. The tags of request timers are 32-bit request ids.
 constexpr uint64_t kPollDiscoveryTag = 1ULL << 40;
-// Longest delay after a failed poll of discovery, where the endpoint list is polled.
+// Longest delay between a failed poll of discovery and the next one.
 constexpr double kMaxPollDelayS = 1;
-// A waiting request is charged, and so reported, in advance where it is at least so likely to be admitted.
+// A request that waits for the counter is charged in advance, and so reported, if its probability of being
+// within quota is at least this.
 constexpr double kMinReserveProbability = 0.5;
 
 }  // namespace
 
-// The path of a request: OnRequest checks its quota, sheds load and forwards it, or lets it wait for the
-// counter (OnCounterReply). OnAttemptOutcome and OnTimer retry, hedge or end it. Each rule stands in its own
-// file; here is only their order.
+// Applies the rules of the other files to each request, in a fixed order. OnRequest checks the quota, sheds
+// load and forwards the request, or lets it wait for the counter (OnCounterReply). OnAttemptOutcome and
+// OnTimer retry, hedge or end it. The rules themselves are implemented in the other files.
 class AdmissionPolicy::Impl {
  public:
   Impl(const Settings& settings, uint64_t seed, double now_s, Actions* actions)
@@ -69,7 +70,7 @@
     if (in_flight_.count(request.id) != 0) return;
     if (!IsValidRequest(request, settings_)) return Reject(request.id, RejectReason::kInvalid, actions);
     Tenant& tenant = tenants_.RecordRequest(request, now_s);
-    // A tenant has one plan: its quotas were set up by the plan of its first request.
+    // A tenant has one plan. Its quotas were created from the plan of its first request.
     if (tenant.plan_index != request.plan) return Reject(request.id, RejectReason::kInvalid, actions);
     quota_check_.RecordDemand(&tenant, request, now_s);
     QuotaAssessment assessment = quota_check_.Assess(&tenant, request, now_s);
@@ -122,7 +123,7 @@
     if (it == in_flight_.end() || it->second.finished || it->second.response_started) return;
     InFlightRequest& request = it->second;
     if (retry_policy_.IsOutOfTime(request, now_s)) {
-      // Time in which this process stood still says nothing of the backends' load.
+      // Time during which this process was stalled is no sign of load at the backends.
       if (retry_policy_.IsOutOfRunningTime(request, running_clock_.At(now_s))) {
         load_shedder_.RecordDeadlineExceeded(now_s);
       }
@@ -150,7 +151,8 @@
   void Reject(uint32_t request_id, RejectReason reason, Actions* actions) {
     actions->push_back(RejectRequest{request_id, 0, reason});
   }
-  // 429 on sockets; where the settings allow no Retry-After it cannot be told from other rejections.
+  // The socket-based gateway responds with status 429, or with 503 if the settings disable Retry-After. In
+  // the latter case clients cannot distinguish this rejection from others.
   void RejectOverQuota(uint32_t request_id, Actions* actions) {
     double retry_after_s = settings_.retry_after_enabled ? settings_.max_retry_after_s : 0;
     actions->push_back(RejectRequest{request_id, retry_after_s, RejectReason::kOverQuota});
@@ -173,7 +175,7 @@
     counter_.ReportUsage(tenant, now_s, actions);
   }
 
-  // Under overload only a backend that warms up, and has budget left, still gets the request.
+  // A request that is to be shed may still go to a backend in warm-up that has budget left.
   Backend* SelectUnlessShed(const InFlightRequest& request, bool shed, double now_s) {
     auto candidates = shed ? EndpointSelector::Candidates::kWarmingUp : EndpointSelector::Candidates::kAll;
     return selector_.Select(request, now_s, candidates);
@@ -191,15 +193,15 @@
     const InFlightRequest& waiting = in_flight_[request.id] = std::move(arrived);
     StartCheckTimer(waiting, nullptr, now_s, actions);
     tenant->waiting.push_back({request.id, request.cost_units, reserve});
-    // The cap first, as a gateway may have only one call to make: its total is out of date within the time of
-    // an attempt, that of the rate within a window.
+    // Concurrency is reported first, because the gateway may be allowed only one call: its total is out of
+    // date within the duration of an attempt, the total of the rate quota only within a window.
     counter_.ReportConcurrency(tenant, now_s, actions);
     counter_.ReportUsage(tenant, now_s, actions);
     if (!tenant->HasCallPending()) DecideWaitingRequests(tenant, false, now_s, actions);
   }
 
-  // Decides the requests that wait for the counter by what is known now. They were not shed when they
-  // arrived, and are not shed now. `counter_replied`: its reply has come, and was no error.
+  // Decides the requests that wait for the counter, from what is known now. They passed the load shedder when
+  // they arrived and are not shed here. `counter_replied` is true if the counter replied without an error.
   void DecideWaitingRequests(Tenant* tenant, bool counter_replied, double now_s, Actions* actions) {
     std::vector<WaitingRequest> waiting;
     waiting.swap(tenant->waiting);
@@ -239,7 +241,8 @@
     }
   }
 
-  // Of the requests admitted without a lookup only some are reported, each for several.
+  // Reports only a random sample of the requests admitted without a lookup. Each sampled request is reported
+  // with a multiple of its cost, so that it stands for the others as well.
   void SampleUsageReport(Tenant* tenant, const Request& request) {
     TenantQuota& quota = tenant->quota;
     if (!quota.HasRateQuota() || quota.HasSingleGateway()) return;
@@ -254,7 +257,7 @@
     StartCheckTimer(*request, backend, now_s, actions);
   }
 
-  // `tenant`: null where it is not known any more.
+  // `tenant` is null if it has been removed from the table.
   void Forward(Tenant* tenant, InFlightRequest* request, Backend* backend, double now_s, Actions* actions) {
     request->attempts.push_back({backend->endpoint.id, now_s, true, running_clock_.At(now_s)});
     ++request->attempts_in_flight;
@@ -269,7 +272,7 @@
     actions->push_back(ForwardAttempt{request->request.id, backend->endpoint.id, timeout_s});
   }
 
-  // `backend`: of the last attempt, or null.
+  // `backend` is the backend of the last attempt, or null.
   void StartCheckTimer(const InFlightRequest& request, const Backend* backend, double now_s,
                        Actions* actions) {
     double delay_s = retry_policy_.CheckDelayS(request, backend, now_s);
@@ -285,7 +288,8 @@
     if (!retry_policy_.ShouldHedgeOrCancel(*request, backend, now_s)) return;
     if (!HasRunForCheckDelay(*request, backend, now_s)) return;
     if (settings_.hedging_enabled) {
-      // With other attempts in flight there, the silence is the backend's and not this request's.
+      // With other attempts in flight at this backend, it is the backend that is silent and not only this
+      // request that is slow.
       if (backend->attempts_in_flight > 1) feedback_.RecordFailure(backend, now_s, actions);
       StartAnotherAttempt(request, now_s, actions);
     } else if (settings_.cancellation_enabled && retry_policy_.MayRetry(*request, now_s)) {
@@ -294,8 +298,8 @@
     }
   }
 
-  // Whether the last attempt has had the time after which a silent one is looked at, without the time in
-  // which this process stood still. Guards against a hold after which all attempts seem to be silent at once.
+  // Whether the last attempt has been in flight for the check delay, not counting time during which this
+  // process was stalled. Otherwise all attempts would seem to be silent at once after a stall.
   bool HasRunForCheckDelay(const InFlightRequest& request, const Backend* backend, double now_s) const {
     const Attempt& last = request.attempts.back();
     double running_for_s = running_clock_.At(now_s) - last.sent_at_running_s;
@@ -303,8 +307,8 @@
     return !was_stalled || running_for_s >= retry_policy_.CheckDelayS(request, backend, now_s);
   }
 
-  // A retry, or a hedged request where an attempt is in flight. Returns false where no further attempt is
-  // allowed or no backend may take it.
+  // Starts a retry, or a hedge if an attempt is in flight. Returns false if no further attempt is allowed or
+  // no backend can take it.
   bool StartAnotherAttempt(InFlightRequest* request, double now_s, Actions* actions) {
     if (!retry_policy_.MayRetry(*request, now_s)) return false;
     Backend* backend = selector_.Select(*request, now_s);
@@ -346,7 +350,7 @@
     tenant->quota.Charge(outcome.actual_cost_units - request.request.cost_units);
   }
 
-  // The final answer where no attempt has brought one.
+  // Gives the final response of a request that got none from its attempts.
   void FinishWithoutResponse(InFlightRequest* request, Actions* actions) {
     if (retry_policy_.MayReject(*request)) {
       Reject(request->request.id, RejectReason::kGivenUp, actions);
@@ -356,7 +360,8 @@
     End(request, actions);
   }
 
-  // The request has its final answer. Forgets it once nothing of it is in flight; `request` may be gone then.
+  // Ends a request that has its final response, and erases it if none of its attempts is in flight. `request`
+  // may be invalid afterwards.
   void End(InFlightRequest* request, Actions* actions) {
     request->finished = true;
     bool cancel = settings_.cancellation_enabled && !request->response_started;
--- a/src/policy/admission_policy.h
+++ b/src/policy/admission_policy.h
@@ -1,4 +1,4 @@
-// The decision module's only interface: settings and events in, actions out.
+// Public interface of the decision module, which turns settings and events into actions.
 #ifndef GATEWAY_POLICY_ADMISSION_POLICY_H_
 #define GATEWAY_POLICY_ADMISSION_POLICY_H_
 
@@ -12,33 +12,37 @@
 
 namespace gateway::policy {
 
-// One gateway's decisions. Deterministic, without I/O: every call gets the clock, in seconds, and appends
-// actions in order. Not thread-safe. No call throws, but for failed allocations.
+// Makes all decisions of one gateway: admission, choice of backend, retries and calls to the counter. It is
+// deterministic and does no I/O: every call receives the clock time in seconds and appends its actions in
+// order. It is not thread-safe. Calls throw only if memory allocation fails.
 class AdmissionPolicy {
  public:
-  // `seed` decides every random draw. `now_s` is the gateway's start.
+  // `seed` determines every random draw. `now_s` is the time at which the gateway started.
   AdmissionPolicy(const Settings& settings, uint64_t seed, double now_s, Actions* actions);
   ~AdmissionPolicy();
   AdmissionPolicy(const AdmissionPolicy&) = delete;
   AdmissionPolicy& operator=(const AdmissionPolicy&) = delete;
 
-  // Discovery told of endpoints, or failed.
+  // Discovery returned endpoints, or failed.
   void OnEndpointUpdate(double now_s, EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints,
                         Actions* actions);
-  // A client's request arrived. It gets exactly one final answer: an attempt's, a rejection or a failure.
+  // A client's request arrived. It gets exactly one final response: that of an attempt, a rejection or a
+  // failure.
   void OnRequest(double now_s, const Request& request, Actions* actions);
-  // The first bytes of an answer went to the client: from now on no attempt of the request is cancelled. Only
-  // from callers that stream answers; the gateway on sockets forwards complete answers and never calls this.
+  // The first bytes of a response were sent to the client. From now on no attempt of the request is
+  // cancelled. Only callers that stream responses need this. The socket-based gateway forwards complete
+  // responses and never calls it.
   void OnResponseStarted(double now_s, uint32_t request_id, Actions* actions);
-  // An attempt ended. Called once for each ForwardAttempt.
+  // An attempt ended. The caller reports this exactly once for each ForwardAttempt.
   void OnAttemptOutcome(double now_s, const AttemptOutcome& outcome, Actions* actions);
-  // The client has left, or the caller has given the final answer by itself.
+  // The client disconnected, or the caller itself sent the final response.
   void OnClientGone(double now_s, uint32_t request_id, Actions* actions);
-  // The delay of a StartTimer is over.
+  // The delay of a StartTimer action has passed.
   void OnTimer(double now_s, uint64_t tag, Actions* actions);
-  // The process stood still for `duration_s` up to now: what happened meanwhile is only told after this call.
+  // The process was stalled for the last `duration_s`. The caller must report the stall before any event that
+  // happened during it.
   void OnStall(double duration_s);
-  // A CallCounter ended. Called once for each.
+  // A counter call ended. The caller reports this exactly once for each CallCounter.
   void OnCounterReply(double now_s, const CounterReply& reply, Actions* actions);
 
  private:
--- a/src/policy/concurrency_quota.cpp
+++ b/src/policy/concurrency_quota.cpp
@@ -5,11 +5,13 @@
 namespace gateway::policy {
 namespace {
 
-// Share of the attempts last read that are still in flight, above which the reply counts as exact.
+// The last total counts as exact while more than this share of its attempts is expected to be in flight
+// still.
 constexpr double kMinExactShare = 0.9;
-// How long a reply is trusted over the share of earlier requests that were within the cap.
+// Time constant with which the weight moves from the last reply to the share of earlier requests that were
+// within the cap.
 constexpr double kReplyTrustDecayS = 1;
-// Over which the mean of the others' attempts is taken.
+// Averaging time of the mean of the other gateways' attempts.
 constexpr double kMeanAveragingS = 1;
 
 }  // namespace
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -8,32 +8,36 @@
 namespace gateway::policy {
 namespace {
 
-// Pause between two calls of a gateway while the counter is silent: at least the first, and so long that all
-// gateways together make no more than so many calls a second.
+// While the counter is silent, a gateway pauses between two calls for at least kMinSilentPauseS, and long
+// enough that all gateways together make at most kSilentCallsPerS calls per second.
 constexpr double kMinSilentPauseS = 0.3;
 constexpr double kSilentCallsPerS = 100;
-// A reply slower than so many of the settings' time-outs is a sign of congestion. The gateway on sockets
-// waits for three (net/gateway.cpp), since a late total is still of use.
+// A reply that takes longer than this many counter time-outs is a sign of congestion. The socket-based
+// gateway waits for three time-outs (net/gateway.cpp), because a late total is still useful.
 constexpr double kSlowReplyTimeouts = 1.5;
-// The congestion price grows and shrinks by these shares of itself: it is steady, at whatever level, where
-// one call in nine is slow or fails, just short of the most that the counter bears.
+// The congestion level grows and shrinks by these shares of itself. At any level it is steady when one call
+// in nine is slow or fails, which is just below the capacity of the counter.
 constexpr double kCongestionGrowth = 0.4;
 constexpr double kCongestionDecay = 0.05;
 constexpr double kMaxCongestion = 1;
+// A lookup takes this many calls on average, because some need a second call.
 constexpr double kCallsPerLookup = 1.5;
-// Share of requests that go unreported, for each unit of a call's price, and at most.
+// Share of requests that go unreported per unit of a call's price, and the upper limit of that share.
 constexpr double kUnreportedPerPrice = 5;
 constexpr double kMaxUnreportedShare = 0.8;
-// A tenant whose total was never read is looked up by itself while fewer go unreported than this.
+// While the unreported share is lower than this, the total of a tenant with unknown usage is read even if no
+// request waits and no report is due.
 constexpr double kMaxLookupUnreportedShare = 0.5;
-// The counter may forget a key so many windows, or epochs, after the last call. Its own limit is a minute.
+// The counter may drop a key this many windows or epochs after the last call. The counter itself
+// allows at most a minute.
 constexpr double kUsageExpiryWindows = 3;
 constexpr double kPreviousUsageExpiryWindows = 2;
 constexpr double kConcurrencyExpiryEpochs = 2;
 constexpr double kMaxExpiryS = 60;
+// A loss of state is logged only if the previous one was longer ago than this.
 constexpr double kLostStateLogIntervalS = 5;
 
-// The same at every gateway: keys come of tenant, kind and period alone.
+// Derives the key from tenant, kind and period alone, so that it is the same at every gateway.
 uint64_t CounterKey(const CounterSchedule::Call& call) {
   bool usage = call.kind == CounterSchedule::Call::Kind::kUsage;
   auto period = static_cast<uint64_t>(usage ? call.period : ~call.period);
@@ -131,8 +135,9 @@
   if (reply.result == CallResult::kOk) tenant->concurrency.ApplyTotal(call.period, reply.total, now_s);
 }
 
-// Guards against a counter that is overloaded, or gone: each failure raises the price of a call, whatever its
-// reason, and so makes calls rarer. Reply by reply they come back, without a flood when the counter returns.
+// Each failed call, whatever the reason, raises the price and so makes calls rarer, which protects a counter
+// that is overloaded or down. Each quick reply lowers the price again, so that calls increase gradually when
+// the counter recovers.
 void CounterSchedule::UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions) {
   bool was_silent = IsSilent();
   bool ok = result == CallResult::kOk;
@@ -150,7 +155,7 @@
                                       double now_s, Actions* actions) {
   TenantQuota& quota = tenant->quota;
   if (reply.result != CallResult::kOk) {
-    // After a time-out the units may have been added: reporting them again could count them twice.
+    // After a time-out the counter may have added the units. Reporting them again could count them twice.
     if (reply.result != CallResult::kTimeout) quota.AddUnreported(call.amount);
     return;
   }
--- a/src/policy/counter_schedule.h
+++ b/src/policy/counter_schedule.h
@@ -1,4 +1,4 @@
-// Which calls to the counter service are made, what one is worth, and what happens while it is silent.
+// Schedules the calls to the counter service, sets their price and handles a silent counter.
 #ifndef GATEWAY_POLICY_COUNTER_SCHEDULE_H_
 #define GATEWAY_POLICY_COUNTER_SCHEDULE_H_
 
@@ -14,76 +14,79 @@
 
 namespace gateway::policy {
 
-// Rule: a call is made where it is due and worth its price. The price is the settings' price of a call plus a
-// congestion price, which grows with each failed or slow call and shrinks with each quick one, so that all
-// gateways together call as often as the counter bears.
+// Rule: a call is made if it is due and worth its price. The price is the price of a call in the settings
+// plus a congestion price, which rises with each failed or slow call and falls with each quick one, so that
+// all gateways together make as many calls as the counter can handle.
 //
-// Circuit breaker: after kSilentAfterFailures failed calls in a row, of whatever tenant and kind, the counter
-// counts as silent, until one call succeeds. Meanwhile quotas fall back to this gateway's part (TenantQuota),
-// and the calls that are due go out one by one, far apart.
+// Circuit breaker: after kSilentAfterFailures consecutive failed calls, of any tenant and kind, the counter
+// is considered silent until one call succeeds. Meanwhile each quota falls back to this gateway's part of it
+// (TenantQuota), and calls that are due are made one at a time with long pauses.
 //
-// A change of the attempts in flight that falls into the pause is reported when it is over, and not with the
-// tenant's next request: a total that lacks the end of an attempt would keep the cap taken for seconds.
+// A change of the attempts in flight that occurs during a pause is reported when the pause is over, not with
+// the tenant's next request. Otherwise a total that misses the end of an attempt would keep the cap occupied
+// for seconds.
 //
-// Invariants: at most one call of each kind is pending for a tenant, and one for each counter key; every call
-// made gets one reply.
+// Invariants: at most one call of each kind is pending for a tenant, and at most one for each counter key.
+// Every call gets exactly one reply.
 class CounterSchedule {
  public:
-  // A call that is pending.
+  // A pending call to the counter.
   struct Call {
     enum class Kind { kUsage, kConcurrency };
     Kind kind = Kind::kUsage;
     uint64_t tenant_id = 0;
-    int64_t period = 0;  // window of a usage call, epoch of a concurrency call
+    int64_t period = 0;  // window of a usage call or epoch of a concurrency call
     double amount = 0;   // added to the counter's total
     double sent_at_s = 0;
   };
 
-  // `settings` must outlive this.
+  // `settings` must outlive this object.
   explicit CounterSchedule(const Settings& settings) : settings_(settings) {}
 
   bool IsSilent() const { return consecutive_failures_ >= kSilentAfterFailures; }
-  // Whether the pause after the last call is over. It is none while the counter keeps up.
+  // Whether the pause after the last call is over. There is no pause while the counter keeps up.
   bool MayCall(double now_s) const { return now_s >= next_call_at_s_; }
 
-  // Price of learning a tenant's total: the call that asks, and at times one that corrects it.
+  // Price of reading a tenant's total. It covers the call itself and the occasional second call that corrects
+  // it.
   double LookupPrice() const;
 
-  // Probability that a request admitted without a lookup is reported; one that is stands for those that are
-  // not. Otherwise a tenant that each of many gateways sees once would take a call at each, or never be
-  // reported.
+  // Probability that a request admitted without a lookup is reported. Each reported request stands for the
+  // unreported ones as well. Without sampling, a tenant that each of many gateways sees only once would need
+  // a call from each of them, or would never be reported.
   double ReportingProbability(double ingress_gateways) const;
 
-  // Each makes the tenant's next call of its kind, if one is due. A call both reports what this gateway has
-  // used and reads the total: it is due for a report that is large or old enough, and as a lookup where a
-  // request waits.
+  // These two make the tenant's next call of their kind, if one is due. A call reports the usage of this
+  // gateway and reads the total. It is due when the report is large or old enough, or when a request waits
+  // for the total.
   void ReportUsage(Tenant* tenant, double now_s, Actions* actions);
   void ReportConcurrency(Tenant* tenant, double now_s, Actions* actions);
 
-  // Makes the calls of ReportConcurrency() that the pause held back, as far as it is over now. To be called
-  // when the timer with kPauseOverTag fires.
+  // Makes the calls that ReportConcurrency() deferred, until one of them starts a new pause. Call this when
+  // the timer with kPauseOverTag fires.
   void ReportDeferred(TenantTable* tenants, double now_s, Actions* actions);
 
-  // Tag of the timer that ReportConcurrency() starts.
+  // Tag of the timer that ends a pause. Timers with this tag are started here.
   static constexpr uint64_t kPauseOverTag = 1ULL << 41;
 
-  // Ends the pending call of this key; none where there is no such call.
+  // Removes and returns the pending call of this key, if there is one.
   std::optional<Call> TakePending(uint64_t key);
-  // Applies the reply of a call taken before to price, silence and the tenant's quotas.
+  // Updates the price, the silent state and the tenant's quotas from the reply to `call`, which TakePending()
+  // returned.
   void ApplyReply(const Call& call, const CounterReply& reply, Tenant* tenant, double now_s,
                   Actions* actions);
 
  private:
   static constexpr int kSilentAfterFailures = 4;
-  // The congestion price starts from this level, which itself counts as no price.
+  // Lowest and initial congestion level, at which the congestion price is zero.
   static constexpr double kMinCongestion = 0.01;
 
-  // In the unit of Settings::counter_call_price, as every price here.
+  // All prices of this class have the unit of Settings::counter_call_price.
   double CongestionPrice() const { return congestion_ - kMinCongestion; }
   double UnreportedShare() const;
   void DeferConcurrencyReport(Tenant* tenant, double now_s, Actions* actions);
   void StartPauseTimer(double now_s, Actions* actions);
-  // False where a call of the same key is pending.
+  // Returns false if a call of the same key is pending.
   bool StartCall(const Call& call, double expiry_s, Actions* actions);
   void UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions);
   void ApplyUsageReply(const Call& call, const CounterReply& reply, Tenant* tenant, double now_s,
@@ -92,7 +95,7 @@
 
   const Settings& settings_;
   std::unordered_map<uint64_t, Call> pending_;  // by counter key
-  std::deque<uint64_t> deferred_tenant_ids_;    // tenants whose change of attempts waits for the pause
+  std::deque<uint64_t> deferred_tenant_ids_;    // tenants with a deferred concurrency report
   double next_call_at_s_ = 0;
   double congestion_ = kMinCongestion;
   int consecutive_failures_ = 0;
--- a/src/policy/demand_share.cpp
+++ b/src/policy/demand_share.cpp
@@ -5,7 +5,7 @@
 namespace gateway::policy {
 namespace {
 
-constexpr double kTickS = 0.1;  // PAPER's default
+constexpr double kTickS = 0.1;  // the default in PAPER
 
 }  // namespace
 
--- a/src/policy/demand_share.h
+++ b/src/policy/demand_share.h
@@ -1,4 +1,4 @@
-// The share of spare capacity that a tenant may borrow beyond its quota (PAPER, eq. 11 and 12).
+// Distribution of spare capacity to tenants that ask for more than their quota (PAPER, eq. 11 and 12).
 #ifndef GATEWAY_POLICY_DEMAND_SHARE_H_
 #define GATEWAY_POLICY_DEMAND_SHARE_H_
 
@@ -8,44 +8,46 @@
 
 namespace gateway::policy {
 
-// One tenant's part of the rule.
+// Units beyond its quota that one tenant may still use. DemandShare grants them.
 class BorrowingAllowance {
  public:
   double units() const { return units_; }
 
-  // Takes what a request of `cost_units` needs beyond the tenant's own `tokens`.
+  // Removes the units that a request of `cost_units` needs beyond the tenant's own `tokens`.
   void Charge(double cost_units, double tokens) {
     units_ -= std::max(0.0, cost_units - std::max(0.0, tokens));
   }
 
  private:
   friend class DemandShare;
-  double units_ = 0;               // granted and not used yet
-  int64_t last_demand_tick_ = -1;  // the last in which the tenant asked; -1: none
-  double demand_units_ = 0;        // V_i: asked for in that tick
+  double units_ = 0;               // granted and not yet used
+  int64_t last_demand_tick_ = -1;  // last tick with a request of the tenant; -1 if none
+  double demand_units_ = 0;        // V_i, the units requested in that tick
 };
 
-// Rule: with each tick a tenant is granted V_i / sum V x (W - mu_i), at most what its bucket has free, where
-//   V_i    is what it asked for in the last tick in which it asked,
-//   sum V  is what all tenants asked for in that tick,
-//   mu_i   is the tokens that it has of its own,
-//   W      is the capacity to share: what this gateway's backends served in that tick without pressure, since
-//          they can be expected to serve as much again. It is zero where the tick saw a rejection as full, or
-//          an answer past its latency objective.
+// Rule: in each tick in which a tenant sends requests, it is granted V_i / sum V x (W - mu_i) units, at most
+// the free space of its bucket, where
+//   V_i    is the units that it requested in its last tick with requests,
+//   sum V  is the units that all tenants requested in that tick,
+//   mu_i   is the tokens in its own bucket,
+//   W      is the capacity to share: the units that the backends served for this gateway in that tick, since
+//          they can be expected to serve as many again. W is zero if the tick was under pressure, that is, if
+//          a request was rejected for lack of capacity or a response missed its latency objective.
 //
-// Invariant: only the last kTicks ticks are kept; demand older than that grants nothing.
+// Invariant: only the last kTicks ticks are kept. Older demand grants nothing.
 class DemandShare {
  public:
-  // Grants the tenant its share for the last tick in which it asked, then adds `cost_units` to its demand.
+  // Grants the tenant its share for its last tick with requests, unless that is the current one, then adds
+  // `cost_units` to its demand.
   void RecordDemand(BorrowingAllowance* allowance, double cost_units, double tokens, double burst_units,
                     double now_s);
   void RecordServed(double cost_units, double now_s);
   void RecordPressure(double now_s);
-  // In this tick or the last. Nothing is borrowed under pressure.
+  // Whether this tick or the previous one was under pressure. Nothing may be borrowed then.
   bool IsUnderPressure(double now_s);
 
  private:
-  // Ticks kept, so that a tenant of few requests finds its last one.
+  // Number of ticks kept, so that a tenant with few requests still finds its last one.
   static constexpr int kTicks = 16;
 
   struct Tick {
@@ -55,7 +57,7 @@
   };
 
   Tick& At(int64_t tick) { return ticks_[static_cast<size_t>(tick % kTicks)]; }
-  // Clears the ticks between the last call and now; returns the present one.
+  // Clears the ticks since the last call and returns the current one.
   int64_t Advance(double now_s);
 
   std::array<Tick, kTicks> ticks_;
--- a/src/policy/in_flight_request.h
+++ b/src/policy/in_flight_request.h
@@ -1,4 +1,4 @@
-// A request between its arrival and the end of its last attempt.
+// State of a request from its arrival until its last attempt has ended.
 #ifndef GATEWAY_POLICY_IN_FLIGHT_REQUEST_H_
 #define GATEWAY_POLICY_IN_FLIGHT_REQUEST_H_
 
@@ -13,7 +13,7 @@
   uint32_t backend_id = 0;
   double sent_at_s = 0;
   bool in_flight = false;
-  double sent_at_running_s = 0;  // the same by RunningClock
+  double sent_at_running_s = 0;  // the same time on RunningClock
 };
 
 struct InFlightRequest {
@@ -23,21 +23,24 @@
         deadline_at_s(now_s + arrived.time_left_s),
         deadline_at_running_s(running_s + arrived.time_left_s) {}
 
-  // No attempt has been made: the request waits for the counter's reply.
+  // Whether no attempt has been made, because the request waits for the counter's reply.
   bool IsWaitingForCounter() const { return attempts.empty(); }
 
   Request request;
-  double deadline_at_s = 0;          // clock
-  double deadline_at_running_s = 0;  // the same by RunningClock, of a process that has not stood still since
-  std::vector<Attempt> attempts;     // in the order in which they were forwarded
+  double deadline_at_s = 0;          // by the caller's clock
+  double deadline_at_running_s = 0;  // by RunningClock; the same time if no stall follows
+  std::vector<Attempt> attempts;     // in the order of forwarding
   int attempts_in_flight = 0;
-  bool finished = false;  // its final answer is given, or its client has left; attempts may be in flight
+  // The final response has been given or the client has disconnected. Attempts may still be in flight.
+  bool finished = false;
   bool response_started = false;
-  bool within_quota = false;       // charged to the tenant's quota
-  bool may_have_run = false;       // an attempt that ended may have had its effect:
-  double first_run_sent_at_s = 0;  // the first such was sent then,
-  int run_zone = 0;                // to a backend of this zone and cell
-  int run_cell = 0;
+  bool within_quota = false;  // if true, the cost was charged to the tenant's quota
+  // An attempt that has ended may have had its effect. The three fields below describe the first such
+  // attempt.
+  bool may_have_run = false;
+  double first_run_sent_at_s = 0;
+  int run_zone = 0;  // zone of its backend; -1 if unknown
+  int run_cell = 0;  // cell of its backend; -1 if unknown
 };
 
 }  // namespace gateway::policy
--- a/src/policy/load_shedder.cpp
+++ b/src/policy/load_shedder.cpp
@@ -6,25 +6,28 @@
 namespace gateway::policy {
 namespace {
 
-// Part of the concurrency limits that the class of the least value may use. It also bounds how much harder
-// that class is hit by the admitted share.
+// Share of the concurrency limits that the least valuable class may use. It also bounds how much more
+// strongly the admitted share affects that class.
 constexpr double kMinLimitShare = 0.3;
-// Of its part, what a request beyond the quota may use.
+// Share of its class's limit that a request beyond the quota may use.
 constexpr double kBorrowedLimitShare = 0.5;
-// Exponent on the admitted share for a request beyond the quota.
+// Exponent of the admitted share for a request beyond the quota.
 constexpr double kBorrowedExponent = 2;
 
-constexpr double kMinAdmittedShare = 0.05;  // so that answers go on telling
-// The admitted share is multiplied by exp(-step x relative error) with each answer. The step is the time
-// since the last answer over kAdjustmentS, so that the adjustment per second does not depend on the rate of
-// answers, but at least kMinStep.
+// The admitted share does not fall below this, so that responses keep arriving and show when load has
+// dropped.
+constexpr double kMinAdmittedShare = 0.05;
+// Each response multiplies the admitted share by exp(-step x relative error). The step is the time since the
+// last response, at most kMaxAdjustmentIntervalS, divided by kAdjustmentS, so that the adjustment per second
+// does not depend on the response rate. It is at least kMinStep.
 constexpr double kAdjustmentS = 0.8;
 constexpr double kMaxAdjustmentIntervalS = 1;
 constexpr double kMinStep = 0.02;
 constexpr double kMaxRelativeError = 2;
 constexpr double kRecoveryPerS = 0.05;
 
-// Latency share that stands for an outcome without a latency: it gives the largest error.
+// Latency share used for an outcome that has no latency, such as a rejection. Its relative error reaches
+// kMaxRelativeError, the largest error.
 constexpr double kOverloadLatencyShare = 1;
 
 }  // namespace
--- a/src/policy/quota_check.cpp
+++ b/src/policy/quota_check.cpp
@@ -5,24 +5,28 @@
 namespace gateway::policy {
 namespace {
 
-// A request with less time left than so many counter time-outs is not made to wait for the counter.
+// A request with less time left than this many counter time-outs does not wait for the counter.
 constexpr double kMinTimeLeftTimeouts = 4;
-// Requests are looked up where the gain is worth the price, times a random factor from this up to one more,
-// so that gateways which see the same do not all ask at once.
+// A request is looked up if the expected gain, times a random factor, reaches the price of a lookup. The
+// factor lies between this value and this value plus one, so that gateways with the same view do not all call
+// at once.
 constexpr double kMinGainFactor = 0.5;
+// Probability from which a request counts as within the cap if its plan allows borrowing.
 constexpr double kLikelyWithin = 0.5;
-// Share of the quota's rate, or of the cap, asked for through all gateways, up to which the prior holds as it
-// is.
+// The prior is used as it is while the estimated fleet-wide demand is at most this share of the quota's rate
+// or of the cap.
 constexpr double kPriorDemandShare = 0.5;
 
-// Admitting pays off where the expected value p is at least the expected loss (1 - p) x loss. Always so for a
-// loss below zero, that is, where requests beyond the quota earn more than they cost.
+// With p the probability of being within quota, admitting is worthwhile if the expected value p is at least
+// the expected loss (1 - p) x loss. This always holds for a negative loss, that is, if requests beyond the
+// quota earn more than they cost.
 bool IsWorthAdmitting(double probability_within, double loss) {
   return probability_within * (1 + loss) >= loss;
 }
 
-// Whether a request counts as within the cap on concurrent attempts. Where the plan borrows, admitting always
-// pays, and says nothing of the cap: the request is within it where that is the likelier.
+// Whether a request counts as within the cap on concurrent attempts. If the plan allows borrowing, admitting
+// is always worthwhile and tells nothing about the cap, so the request counts as within the cap if that is at
+// least as likely as not.
 bool CountsAsWithinCap(double probability_within, const PlanSettings& plan) {
   if (AllowsBorrowing(plan)) return probability_within >= kLikelyWithin;
   return IsWorthAdmitting(probability_within, OverQuotaLoss(plan));
@@ -54,7 +58,8 @@
     if (!quota.IsOthersUsageKnown() && !IsWorthAdmitting(prior, loss)) within = false;
     double probability = quota.ProbabilityOfRoom(request.cost_units, now_s, prior,
                                                  settings_.max_request_units, counter_.IsSilent());
-    // The two are strained together, and both go by the same prior: the stricter one decides.
+    // Both quotas tend to be exhausted at the same time and both probabilities use the same prior, so the
+    // lower one decides.
     assessment.probability_within = std::min(probability, concurrency_probability);
   }
   if (within) {
@@ -106,7 +111,7 @@
 double QuotaCheck::PriorWithinCap(const Tenant& tenant, const Request& request, double now_s) const {
   double excess = 0;
   if (!counter_.IsSilent() && !tenant.quota.HasSingleGateway()) {
-    // By Little's law, from requests of this size.
+    // Little's law gives the attempts in flight, if all requests cost as much as this one.
     double requests_per_s = FleetDemandUnitsPerS(tenant, request, now_s) / request.cost_units;
     double attempts = requests_per_s * estimator_.MeanLatencyS(request.request_class);
     excess = std::max(0.0, attempts / tenant.quota.plan().max_concurrent_attempts - kPriorDemandShare);
--- a/src/policy/quota_check.h
+++ b/src/policy/quota_check.h
@@ -1,4 +1,4 @@
-// Whether a request is within its tenant's quotas, and whether the counter is asked first.
+// Decides whether a request is within its tenant's quotas and whether to call the counter first.
 #ifndef GATEWAY_POLICY_QUOTA_CHECK_H_
 #define GATEWAY_POLICY_QUOTA_CHECK_H_
 
@@ -13,21 +13,21 @@
 
 enum class QuotaDecision {
   kWithinQuota,
-  kBorrowed,   // beyond the quota, on capacity that the demand share has granted
+  kBorrowed,   // beyond the quota, using spare capacity granted by DemandShare
   kOverQuota,  // to be rejected
 };
 
 struct QuotaAssessment {
   QuotaDecision decision = QuotaDecision::kOverQuota;
-  // Probability that the fleet-wide quotas cover the request, by what is known now. 0 for a tenant with a
-  // rate quota that comes through one gateway alone, where the decision is certain.
+  // Probability that the fleet-wide quotas cover the request, from what is known now. It is 0 for a tenant
+  // that has a rate quota and a single ingress gateway, for which the decision is certain.
   double probability_within = 0;
 };
 
-// Combines the rules of tenant_quota, concurrency_quota and demand_share into one decision.
+// Combines the rules of TenantQuota, ConcurrencyQuota and DemandShare into one decision for each request.
 class QuotaCheck {
  public:
-  // The references must outlive this.
+  // The arguments must outlive this object.
   QuotaCheck(const Settings& settings, const ServiceEstimator& estimator, const CounterSchedule& counter,
              DemandShare* demand_share, RandomSource* random)
       : settings_(settings),
@@ -36,27 +36,30 @@
         demand_share_(*demand_share),
         random_(*random) {}
 
-  // Counts the request as its tenant's demand. To be called once for each, when it arrives.
+  // Adds the request to its tenant's demand. Call this once for each request, when it arrives.
   void RecordDemand(Tenant* tenant, const Request& request, double now_s);
 
-  // Decides by what is known now; again for one that has waited for the counter. Charges nothing.
+  // Assesses the request from what is known now. A request that has waited for the counter is assessed again.
+  // Nothing is charged to the quotas.
   QuotaAssessment Assess(Tenant* tenant, const Request& request, double now_s);
 
-  // Whether the request should wait for the counter, some milliseconds: where the reply may change the
-  // decision, and that is worth more than a call. May draw a random number.
+  // Whether the request should wait some milliseconds for the counter, because the reply may change the
+  // decision and the expected gain exceeds the price of a call. May draw a random number.
   bool IsLookupWorthwhile(const Tenant& tenant, const Request& request, const QuotaAssessment& assessment,
                           double now_s);
 
  private:
-  // For a plan whose only limit is the cap on concurrent attempts.
+  // Assesses a request whose plan has a cap on concurrent attempts but no rate quota.
   QuotaAssessment AssessConcurrency(const Tenant& tenant, double probability_within, double now_s);
-  // Probability that the tenant's cap on concurrent attempts covers one more; 1 without a cap.
+  // Probability that the tenant's cap on concurrent attempts leaves room for one more attempt. It is 1
+  // without a cap.
   double ProbabilityWithinCap(const Tenant& tenant, const Request& request, double now_s) const;
-  // What the tenant asks for here, before this request, taken to be the same at each of its ingress gateways.
+  // Estimates the tenant's demand at all gateways. It assumes that each of the tenant's ingress gateways sees
+  // the same demand as this one, not counting this request.
   static double FleetDemandUnitsPerS(const Tenant& tenant, const Request& request, double now_s);
-  // Share of requests like this one that are within the cap, where it was not read.
+  // Estimated share of requests like this one that are within the cap, for use without a recent total.
   double PriorWithinCap(const Tenant& tenant, const Request& request, double now_s) const;
-  // Share of requests like this one that are within the quota, from earlier lookups.
+  // Estimated share of requests like this one that are within the rate quota, from earlier lookups.
   double PriorWithinQuota(const Tenant& tenant, const Request& request, double now_s) const;
 
   const Settings& settings_;
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -1,4 +1,4 @@
-// Seeded random numbers: the same seed gives the same decisions on every machine.
+// Seeded random numbers. The same seed gives the same decisions on every machine.
 #ifndef GATEWAY_POLICY_RANDOM_SOURCE_H_
 #define GATEWAY_POLICY_RANDOM_SOURCE_H_
 
@@ -6,8 +6,8 @@
 
 namespace gateway::policy {
 
-// Spreads the bits of `value` over the whole word (the output function of SplitMix64; Steele, Lea, Flood
-// 2014).
+// Mixes the bits of `value` over the whole word. This is the output function of SplitMix64 (Steele, Lea,
+// Flood 2014).
 inline uint64_t MixBits(uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
@@ -15,8 +15,8 @@
   return value ^ (value >> 31);
 }
 
-// The SplitMix64 generator. One source serves the whole policy, so the order of draws is part of its
-// behaviour.
+// The SplitMix64 generator. One source serves the whole decision module, so the order of draws is part of the
+// module's behaviour.
 class RandomSource {
  public:
   explicit RandomSource(uint64_t seed) : state_(seed) {}
--- a/src/policy/request_validation.cpp
+++ b/src/policy/request_validation.cpp
@@ -6,6 +6,7 @@
 namespace gateway::policy {
 namespace {
 
+// With no more time left than this many timer resolutions, no response could arrive in time.
 constexpr double kMinTimeLeftResolutions = 2;
 
 bool IsValidIndex(int index, size_t size) { return index >= 0 && static_cast<size_t>(index) < size; }
--- a/src/policy/request_validation.h
+++ b/src/policy/request_validation.h
@@ -1,4 +1,4 @@
-// The check of a request before any rule looks at it.
+// Validation of a request before any rule of the decision module sees it.
 #ifndef GATEWAY_POLICY_REQUEST_VALIDATION_H_
 #define GATEWAY_POLICY_REQUEST_VALIDATION_H_
 
@@ -7,8 +7,9 @@
 
 namespace gateway::policy {
 
-// False for a class or plan that the settings do not name, for figures that are not finite or not positive,
-// and where so little time is left that no answer could arrive in it. Such a request is rejected.
+// Returns false if the settings have no such class or plan, if the cost is not finite and positive, if
+// another number is not finite, or if too little time is left for a response to arrive. Invalid requests are
+// rejected.
 bool IsValidRequest(const Request& request, const Settings& settings);
 
 }  // namespace gateway::policy
--- a/src/policy/running_clock.h
+++ b/src/policy/running_clock.h
@@ -1,18 +1,18 @@
-// The time for which this gateway's process has run.
+// Clock that does not advance while the gateway's process is stalled.
 #ifndef GATEWAY_POLICY_RUNNING_CLOCK_H_
 #define GATEWAY_POLICY_RUNNING_CLOCK_H_
 
 namespace gateway::policy {
 
-// A clock that stands still with the process: stopped, swapped out, or without its core. What ended meanwhile
-// is read late, so that the time between two events has two bounds: by the caller's clock at most, by this
-// one at least.
+// Measures time without the stalls of the process, during which it is stopped, swapped out or waiting for a
+// CPU core. An event that happens during a stall is noticed late. The true time between two events is
+// therefore at most the difference by the caller's clock and at least the difference by this clock.
 class RunningClock {
  public:
-  // The process stood still for so long, up to now.
+  // Records that the process was stalled for the last `duration_s`.
   void RecordStall(double duration_s) { stalled_s_ += duration_s; }
 
-  // This clock's time when the caller's is `now_s`.
+  // Returns this clock's time when the caller's clock reads `now_s`.
   double At(double now_s) const { return now_s - stalled_s_; }
 
  private:
--- a/src/policy/tenant.cpp
+++ b/src/policy/tenant.cpp
@@ -5,15 +5,16 @@
 namespace gateway::policy {
 namespace {
 
+// A tenant with a rate quota is kept for at least this many windows without a request.
 constexpr double kMinIdleWindows = 3;
 constexpr double kIdleCheckIntervalS = TenantTable::kMinIdleS / 10;
-// Share of the requests that wait for the counter taken to be within the quota, until replies tell.
+// Assumed share of waiting requests that are within the quota, until counter replies are available.
 constexpr double kInitialWithinQuotaShare = 0.7;
-// Weight of one request in that share, of its plan and of its tenant.
+// Weight of one waiting request in the moving average of that share, for its plan and for its tenant.
 constexpr double kPlanShareWeight = 0.05;
 constexpr double kTenantShareWeight = 0.3;
 
-// After which quota and ceiling are full again.
+// Time without requests after which quota and ceiling are full again.
 double IdleTimeoutS(const PlanSettings& plan) {
   double idle_s = TenantTable::kMinIdleS;
   if (plan.rate_units_per_s > 0) idle_s = std::max(idle_s, kMinIdleWindows * WindowSeconds(plan));
--- a/src/policy/tenant.h
+++ b/src/policy/tenant.h
@@ -1,4 +1,4 @@
-// The tenants that this gateway has seen, each with the state of its quotas.
+// Table of the tenants seen by this gateway, with the state of their quotas.
 #ifndef GATEWAY_POLICY_TENANT_H_
 #define GATEWAY_POLICY_TENANT_H_
 
@@ -14,18 +14,19 @@
 
 namespace gateway::policy {
 
-// A request that waits for the counter's reply.
+// A request that waits for a reply of the counter.
 struct WaitingRequest {
   uint32_t request_id = 0;
   double cost_units = 0;
-  bool reserved = false;  // charged already, so that the call reports it too
+  bool reserved = false;  // charged in advance, so that the call reports it
 };
 
+// State that this gateway keeps for one tenant.
 struct Tenant {
   Tenant(uint64_t tenant_id, int plan, const TenantQuota& rate_quota, double share)
       : id(tenant_id), plan_index(plan), quota(rate_quota), within_quota_share(share) {}
 
-  // Charges or gives back what a waiting request will use.
+  // Charges the units and the attempt that a waiting request will use, or gives them back.
   void Reserve(double cost_units);
   void ReleaseReservation(double cost_units);
   bool HasCallPending() const { return usage_call_pending || concurrency_call_pending; }
@@ -37,41 +38,42 @@
   BorrowingAllowance borrowing_allowance;
   double last_request_at_s = 0;
   double requested_units = 0;  // since the tenant was first seen
-  double within_quota_share;   // of its requests that waited for the counter, those within the quota
+  double within_quota_share;   // share of its waiting requests that proved to be within quota
   bool usage_call_pending = false;
   bool concurrency_call_pending = false;
-  bool concurrency_report_deferred = false;  // until the pause between calls is over
-  std::vector<WaitingRequest> waiting;       // first come, first decided
+  bool concurrency_report_deferred = false;  // waits for the end of the pause between calls
+  std::vector<WaitingRequest> waiting;       // in order of arrival, which is the order of decision
 };
 
-// Owns the tenants. References stay valid until RemoveIdle removes their tenant.
+// Owns the tenants. A reference to a tenant stays valid until RemoveIdle() removes it.
 class TenantTable {
  public:
-  // The time after which a tenant with no request may be forgotten, at least.
+  // Shortest time without requests after which a tenant may be removed.
   static constexpr double kMinIdleS = 10;
 
-  // `settings` must outlive this.
+  // `settings` must outlive this object.
   TenantTable(const Settings& settings, double gateway_started_at_s);
 
-  // The tenant of a request that arrives, created where it is new.
+  // Records an arriving request and returns its tenant, which is created if it is new.
   Tenant& RecordRequest(const Request& request, double now_s);
-  // Null where it is not known.
+  // Returns null for an unknown tenant.
   Tenant* Find(uint64_t tenant_id) {
     auto it = tenants_.find(tenant_id);
     return it == tenants_.end() ? nullptr : &it->second;
   }
 
-  // Forgets tenants that were idle for so long that their quotas are as new. Bounds the memory.
+  // Removes tenants that were idle long enough for their quotas to be in the initial state. This
+  // bounds the memory.
   void RemoveIdle(double now_s);
 
-  // Learns from a request that waited for the counter whether it was within the quota.
+  // Updates the within-quota shares with the result of a request that waited for the counter.
   void RecordWaitingResult(Tenant* tenant, bool within_quota);
 
  private:
   const Settings& settings_;
   const double gateway_started_at_s_;
   std::unordered_map<uint64_t, Tenant> tenants_;
-  std::vector<double> within_quota_share_;  // by plan
+  std::vector<double> within_quota_share_;  // by plan, initial value for new tenants
   double idle_checked_at_s_ = 0;
 };
 
--- a/src/policy/tenant_quota.cpp
+++ b/src/policy/tenant_quota.cpp
@@ -6,24 +6,25 @@
 namespace gateway::policy {
 namespace {
 
-// Share of the tokens left, over the ingress gateways, that may be forwarded without a report.
+// A report is due when the unreported units reach this share of the tokens left per ingress gateway.
 constexpr double kReportBatchShare = 0.25;
-// Unreported units are reported after this many windows, however few they are.
+// Unreported units are due for a report after this many windows, however few they are.
 constexpr double kMaxReportAgeWindows = 0.25;
-// Share of a ceiling's slack that is used; the rest covers rounding.
+// Share of a ceiling's slack that is used. The rest covers rounding errors.
 constexpr double kCeilingSlackShare = 0.95;
-// While the counter is silent a gateway has at least this share of an even part, quota over ingress gateways,
-// so that traffic which moves here finds some quota.
+// While the counter is silent, a gateway may use at least this share of an even split of the quota among the
+// ingress gateways, so that traffic that moves to this gateway finds some quota.
 constexpr double kMinSilentShare = 0.5;
-// Windows over which the rates of use are averaged.
+// Averaging time of the rates of use, in windows.
 constexpr double kRateAveragingWindows = 0.5;
-// Totals are of single precision: what is smaller than this is rounding.
+// Totals have single precision. Differences smaller than this are rounding errors.
 constexpr double kTotalRoundingUnits = 1e-3;
-// Shortest time between two reads that a rate is computed from.
+// Lower bound of the time between two reads when a rate is computed from them.
 constexpr double kMinRateSpanS = 1e-3;
-// The normal distribution's cumulative function is close to a logistic one with this slope.
+// A logistic function with this slope approximates the normal cumulative distribution function.
 constexpr double kLogisticSlope = 1.7;
-// Variance of what others use, as a share of (largest request x their rate x age), and its floor.
+// Variance of the units that other gateways use, as a share of (largest request x their rate x age), and the
+// constant that is added to it.
 constexpr double kUsageVarianceShare = 0.5;
 constexpr double kUsageVarianceFloor = 0.01;
 
@@ -36,8 +37,8 @@
       created_at_s_(now_s),
       refilled_at_s_(now_s),
       bucket_(plan.burst_units),
-      // Nothing tells a gateway that starts what was spent of the ceiling before, so its part fills from zero
-      // since the start. Guards against an overrun after restarts, and where the counter forgets.
+      // A starting gateway cannot know how much of the ceiling was spent before, so its part fills from zero
+      // from the gateway's start. This prevents an overrun after restarts and if the counter loses its state.
       ceiling_(std::min(CeilingCapacity(),
                         plan.ceiling_rate_units_per_s / ingress_gateways * (now_s - gateway_started_at_s))),
       others_rate_units_per_s_(plan.rate_units_per_s * (ingress_gateways - 1) / ingress_gateways) {
@@ -58,8 +59,8 @@
   refilled_at_s_ = now_s;
   ceiling_.Refill(plan_->ceiling_rate_units_per_s / ingress_gateways_, elapsed_s, CeilingCapacity());
   if (!HasRateQuota()) return;
-  // Others are assumed to go on as last known until the counter tells more. This also holds this gateway to
-  // its part of the quota while the counter is silent, stuck or new.
+  // The other gateways are assumed to continue at their last known rate until the next total. This also keeps
+  // this gateway to its part of the quota while the counter is silent, stuck or not called yet.
   bucket_.Refill(plan_->rate_units_per_s - AssumedOthersRate(counter_is_silent), elapsed_s,
                  plan_->burst_units);
   int64_t window = WindowAt(now_s);
@@ -70,20 +71,20 @@
   double refilled_units =
       plan_->rate_units_per_s * WindowSeconds(*plan_) * static_cast<double>(window - window_);
   double overspent_units = spent_units_ - refilled_units;
-  // After a gap of more than one window, what others have used since is not known, and the counter has to be
-  // read again. While it is silent that cannot be done, so what was known stands.
+  // After a gap of more than one window, the usage of the other gateways is unknown and the counter has to be
+  // read again. That is impossible while it is silent, so the last known usage is kept.
   bool others_usage_lost = window > window_ + 1 && ingress_gateways_ > 1 && !counter_is_silent;
   spent_units_ = others_usage_lost ? 0 : std::clamp(overspent_units, 0.0, plan_->burst_units);
   starting_deficit_units_ = spent_units_;
   if (others_usage_lost) others_usage_known_ = false;
   window_ = window;
-  // Units kept back over a long silence are not paid back for more than one burst.
+  // At most one burst of the units that stayed unreported during a long silence is reported later.
   unreported_units_ = std::min(unreported_units_, plan_->burst_units);
   last_total_units_ = 0;
 }
 
-// While the counter is silent, this gateway keeps to its part of the use as last known. Guards against a rise
-// of traffic everywhere, of which each gateway alone would pass what the others left unused before.
+// While the counter is silent, this gateway is limited to its last known share of the usage. Otherwise, when
+// traffic rises at all gateways, each of them would admit all units that the others left unused before.
 double TenantQuota::AssumedOthersRate(bool counter_is_silent) const {
   double all_rate = own_rate_units_per_s_ + others_rate_units_per_s_;
   if (!counter_is_silent || !others_usage_known_ || all_rate <= 0) return others_rate_units_per_s_;
@@ -95,9 +96,7 @@
   if (bucket_.tokens() < units) return false;
   double own_part =
       (plan_->burst_units + plan_->rate_units_per_s * (now_s - created_at_s_)) / ingress_gateways_;
-  if (!others_usage_known_ && charged_while_unknown_units_ > 0 &&
-      charged_while_unknown_units_ + units > own_part)
-    return false;
+  if (!others_usage_known_ && unverified_units_ > 0 && unverified_units_ + units > own_part) return false;
   double window_units = plan_->burst_units + plan_->rate_units_per_s * WindowSeconds(*plan_);
   return !(spent_units_ + units > window_units);
 }
@@ -121,7 +120,7 @@
   bucket_.Charge(units, plan_->burst_units);
   spent_units_ += units;
   unreported_units_ += units;
-  if (!others_usage_known_) charged_while_unknown_units_ += units;
+  if (!others_usage_known_) unverified_units_ += units;
 }
 
 bool TenantQuota::IsReportDue(double now_s) const {
@@ -141,21 +140,21 @@
   total_read_at_s_ = now_s;
   last_total_units_ = total;
   if (others_units < -max_request_units) {
-    // Totals hardly fall within a window, so the counter has lost its state. Guards against counters that are
-    // emptied or restarted: what was known stands, and bucket and window go on from it.
+    // A total does not fall by this much within a window, so the counter was cleared or restarted. The last
+    // known usage is kept, and bucket and window continue from it.
     result.counter_lost_state = true;
     return result;
   }
-  // The first report of a window also adds the starting deficit, for the gateways that see the tenant too
-  // seldom to know it. Where the first reporter does not know it either, it reads the window before; where
-  // that fails too, a full store is assumed.
+  // The gateway with the first report of a window also reports the starting deficit, for gateways that see
+  // the tenant too rarely to know it. If the first reporter does not know it either, it reads the total of
+  // the previous window. If that fails too, a full store is assumed.
   bool first =
       others_units < kTotalRoundingUnits && total > 0 && total - reported_units < kTotalRoundingUnits;
   if (first && others_usage_known_) unreported_units_ += starting_deficit_units_;
   result.first_of_unknown_window = first && !others_usage_known_;
   others_units = std::max(0.0, others_units);
-  // The total may contain the deficit that another gateway has added. What is known of it here is counted
-  // already.
+  // The total may include the starting deficit, reported by another gateway. The part known here is already
+  // counted in the spent units.
   others_units -= std::min(starting_deficit_units_, others_units);
   starting_deficit_units_ = 0;
   spent_units_ += others_units;
@@ -179,7 +178,7 @@
 }
 
 void TenantQuota::ApplyPreviousTotal(double total) {
-  // A window's rate x length is one burst: what its total has beyond that was taken from the store.
+  // The rate adds one burst during a window. Units beyond that were taken from the window's store.
   Charge(std::clamp(total - plan_->burst_units, 0.0, plan_->burst_units));
 }
 
--- a/src/policy/token_bucket.h
+++ b/src/policy/token_bucket.h
@@ -1,4 +1,4 @@
-// A store of tokens that refills at a rate: the basis of quotas and ceilings.
+// Token bucket on which quotas and ceilings are based.
 #ifndef GATEWAY_POLICY_TOKEN_BUCKET_H_
 #define GATEWAY_POLICY_TOKEN_BUCKET_H_
 
@@ -6,23 +6,23 @@
 
 namespace gateway::policy {
 
-// One token admits one unit of cost. The caller gives rate and capacity with each refill, since both depend
-// on what the other gateways use. The level may be negative: a debt that later refills pay.
+// One token pays for one cost unit. The caller passes rate and capacity with each refill, because both depend
+// on the usage of the other gateways. The level may be negative, and later refills pay off that debt.
 class TokenBucket {
  public:
   explicit TokenBucket(double tokens = 0) : tokens_(tokens) {}
 
   double tokens() const { return tokens_; }
 
-  // The rate may be negative where others use more than the quota.
+  // The rate is negative if the other gateways use more than the quota.
   void Refill(double tokens_per_s, double elapsed_s, double capacity) {
     tokens_ = std::min(capacity, tokens_ + tokens_per_s * elapsed_s);
   }
 
-  // Takes tokens, or gives them back where `units` is negative.
+  // Removes tokens, or returns them if `units` is negative.
   void Charge(double units, double capacity) { tokens_ = std::min(capacity, tokens_ - units); }
 
-  // Sets the level, where the counter tells what the fleet has used.
+  // Sets the level from the fleet's usage, when a total of the counter has been read.
   void Reset(double tokens) { tokens_ = tokens; }
 
  private:
