--- a/src/policy/actions.h
+++ b/src/policy/actions.h
@@ -26,8 +26,8 @@
 // The check or rule that rejected a request.
 enum class RejectReason {
   kInvalid,    // request_validation failed, or the plan is not that of the tenant
-  kOverQuota,  // quota_check
-  kOverload,   // load_shedder
+  kOverQuota,  // quota_check found the request over quota
+  kOverload,   // load_shedder shed the request
   kNoBackend,  // endpoint_selector found no usable backend
   kGivenUp,    // retry_policy allows no further attempt, or none would end in time
 };
@@ -45,7 +45,8 @@
   uint32_t request_id = 0;
 };
 
-// Calls OnTimer with `tag` after the delay. A tag of at most 32 bits is a request id.
+// Calls OnTimer with `tag` after the delay. A tag of at most 32 bits is the id of the request that the timer
+// belongs to.
 struct StartTimer {
   double delay_s = 0;
   uint64_t tag = 0;
--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -200,8 +200,8 @@
     if (!tenant->HasCallPending()) DecideWaitingRequests(tenant, false, now_s, actions);
   }
 
-  // Decides the requests that wait for the counter, from what is known now. They passed the load shedder when
-  // they arrived and are not shed here. `counter_replied` is true if the counter replied without an error.
+  // Decides the requests that wait for the counter, from what is known now. They were not shed when they
+  // arrived and are not shed here. `counter_replied` is true if the counter replied without an error.
   void DecideWaitingRequests(Tenant* tenant, bool counter_replied, double now_s, Actions* actions) {
     std::vector<WaitingRequest> waiting;
     waiting.swap(tenant->waiting);
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -28,8 +28,8 @@
 // While the unreported share is lower than this, the total of a tenant with unknown usage is read even if no
 // request waits and no report is due.
 constexpr double kMaxLookupUnreportedShare = 0.5;
-// The counter may drop a key this many windows or epochs after the last call. The counter itself
-// allows at most a minute.
+// The counter may drop a key this many windows or epochs after the last call. The counter itself allows
+// at most a minute.
 constexpr double kUsageExpiryWindows = 3;
 constexpr double kPreviousUsageExpiryWindows = 2;
 constexpr double kConcurrencyExpiryEpochs = 2;
--- a/src/policy/tenant.h
+++ b/src/policy/tenant.h
@@ -23,8 +23,8 @@
 
 // State that this gateway keeps for one tenant.
 struct Tenant {
-  Tenant(uint64_t tenant_id, int plan, const TenantQuota& rate_quota, double share)
-      : id(tenant_id), plan_index(plan), quota(rate_quota), within_quota_share(share) {}
+  Tenant(uint64_t tenant_id, int plan, const TenantQuota& rate_quota, double initial_within_quota_share)
+      : id(tenant_id), plan_index(plan), quota(rate_quota), within_quota_share(initial_within_quota_share) {}
 
   // Charges the units and the attempt that a waiting request will use, or gives them back.
   void Reserve(double cost_units);
