--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -8,32 +8,36 @@
 namespace gateway::policy {
 namespace {
 
-// Pause between two calls of a gateway while the counter is silent: at least the first, and so long that all
-// gateways together make no more than so many calls a second.
+// While the counter is silent, a gateway pauses between two calls for at least kMinSilentPauseS, and long
+// enough that all gateways together make at most kSilentCallsPerS calls per second.
 constexpr double kMinSilentPauseS = 0.3;
 constexpr double kSilentCallsPerS = 100;
-// A reply slower than so many of the settings' time-outs is a sign of congestion. The gateway on sockets
-// waits for three (net/gateway.cpp), since a late total is still of use.
+// A reply that takes longer than this many counter time-outs is a sign of congestion. The socket-based
+// gateway waits for three time-outs (net/gateway.cpp), because a late total is still useful.
 constexpr double kSlowReplyTimeouts = 1.5;
-// The congestion price grows and shrinks by these shares of itself: it is steady, at whatever level, where
-// one call in nine is slow or fails, just short of the most that the counter bears.
+// The congestion level grows and shrinks by these shares of itself. At any level it is steady when one call
+// in nine is slow or fails, which is just below the capacity of the counter.
 constexpr double kCongestionGrowth = 0.4;
 constexpr double kCongestionDecay = 0.05;
 constexpr double kMaxCongestion = 1;
+// A lookup takes this many calls on average, because some need a second call.
 constexpr double kCallsPerLookup = 1.5;
-// Share of requests that go unreported, for each unit of a call's price, and at most.
+// Share of requests that go unreported per unit of a call's price, and the upper limit of that share.
 constexpr double kUnreportedPerPrice = 5;
 constexpr double kMaxUnreportedShare = 0.8;
-// A tenant whose total was never read is looked up by itself while fewer go unreported than this.
-constexpr double kLookupUnreportedShare = 0.5;
-// The counter may forget a key so many windows, or epochs, after the last call. Its own limit is a minute.
+// While the unreported share is lower than this, the total of a tenant with unknown usage is read even if no
+// request waits and no report is due.
+constexpr double kMaxLookupUnreportedShare = 0.5;
+// The counter may drop a key this many windows or epochs after the last call. The counter itself allows
+// at most a minute.
 constexpr double kUsageExpiryWindows = 3;
 constexpr double kPreviousUsageExpiryWindows = 2;
 constexpr double kConcurrencyExpiryEpochs = 2;
 constexpr double kMaxExpiryS = 60;
+// A loss of state is logged only if the previous one was longer ago than this.
 constexpr double kLostStateLogIntervalS = 5;
 
-// The same at every gateway: keys come of tenant, kind and period alone.
+// Derives the key from tenant, kind and period alone, so that it is the same at every gateway.
 uint64_t CounterKey(const CounterSchedule::Call& call) {
   bool usage = call.kind == CounterSchedule::Call::Kind::kUsage;
   auto period = static_cast<uint64_t>(usage ? call.period : ~call.period);
@@ -59,7 +63,7 @@
   TenantQuota& quota = tenant->quota;
   if (!settings_.counter_enabled || !quota.HasRateQuota()) return;
   if (tenant->usage_call_pending || !MayCall(now_s)) return;
-  bool lookup = !quota.IsKnown() && UnreportedShare() < kLookupUnreportedShare;
+  bool lookup = !quota.IsOthersUsageKnown() && UnreportedShare() < kMaxLookupUnreportedShare;
   if (!lookup && tenant->waiting.empty() && !quota.IsReportDue(now_s)) return;
   Call call{Call::Kind::kUsage, tenant->id, quota.window(), quota.unreported_units(), now_s};
   if (!StartCall(call, kUsageExpiryWindows * WindowSeconds(quota.plan()), actions)) return;
@@ -82,32 +86,32 @@
 void CounterSchedule::DeferConcurrencyReport(Tenant* tenant, double now_s, Actions* actions) {
   if (tenant->concurrency_report_deferred) return;
   tenant->concurrency_report_deferred = true;
-  deferred_.push_back(tenant->id);
-  if (deferred_.size() == 1) StartPauseTimer(now_s, actions);
+  deferred_tenant_ids_.push_back(tenant->id);
+  if (deferred_tenant_ids_.size() == 1) StartPauseTimer(now_s, actions);
 }
 
 void CounterSchedule::StartPauseTimer(double now_s, Actions* actions) {
-  double delay_s = std::max(settings_.timer_resolution_s, next_call_s_ - now_s);
+  double delay_s = std::max(settings_.timer_resolution_s, next_call_at_s_ - now_s);
   actions->push_back(StartTimer{delay_s, kPauseOverTag});
 }
 
 void CounterSchedule::ReportDeferred(TenantTable* tenants, double now_s, Actions* actions) {
-  while (!deferred_.empty() && MayCall(now_s)) {
-    Tenant* tenant = tenants->Find(deferred_.front());
-    deferred_.pop_front();
+  while (!deferred_tenant_ids_.empty() && MayCall(now_s)) {
+    Tenant* tenant = tenants->Find(deferred_tenant_ids_.front());
+    deferred_tenant_ids_.pop_front();
     if (tenant == nullptr) continue;
     tenant->concurrency_report_deferred = false;
     ReportConcurrency(tenant, now_s, actions);
   }
-  if (!deferred_.empty()) StartPauseTimer(now_s, actions);
+  if (!deferred_tenant_ids_.empty()) StartPauseTimer(now_s, actions);
 }
 
 bool CounterSchedule::StartCall(const Call& call, double expiry_s, Actions* actions) {
   uint64_t key = CounterKey(call);
   if (!pending_.try_emplace(key, call).second) return false;
   double pause_share = IsSilent() ? 1 : CongestionPrice() * CongestionPrice();
-  next_call_s_ =
-      call.sent_s + pause_share * std::max(kMinSilentPauseS, settings_.gateway_count / kSilentCallsPerS);
+  next_call_at_s_ =
+      call.sent_at_s + pause_share * std::max(kMinSilentPauseS, settings_.gateway_count / kSilentCallsPerS);
   actions->push_back(CallCounter{key, call.amount, std::min(kMaxExpiryS, expiry_s)});
   return true;
 }
@@ -131,18 +135,19 @@
   if (reply.result == CallResult::kOk) tenant->concurrency.ApplyTotal(call.period, reply.total, now_s);
 }
 
-// Guards against a counter that is overloaded, or gone: each failure raises the price of a call, whatever its
-// reason, and so makes calls rarer. Reply by reply they come back, without a flood when the counter returns.
+// Each failed call, whatever the reason, raises the price and so makes calls rarer, which protects a counter
+// that is overloaded or down. Each quick reply lowers the price again, so that calls increase gradually when
+// the counter recovers.
 void CounterSchedule::UpdatePrice(const Call& call, CallResult result, double now_s, Actions* actions) {
   bool was_silent = IsSilent();
   bool ok = result == CallResult::kOk;
-  bool quick = ok && now_s - call.sent_s < kSlowReplyTimeouts * settings_.counter_timeout_s;
-  failures_in_a_row_ = ok ? 0 : failures_in_a_row_ + 1;
+  bool quick = ok && now_s - call.sent_at_s < kSlowReplyTimeouts * settings_.counter_timeout_s;
+  consecutive_failures_ = ok ? 0 : consecutive_failures_ + 1;
   double factor = quick ? 1 - kCongestionDecay : 1 + kCongestionGrowth;
   congestion_ = std::clamp(congestion_ * factor, kMinCongestion, kMaxCongestion);
   if (was_silent && !IsSilent()) actions->push_back(LogEvent{"counter_recovered"});
   if (!was_silent && IsSilent()) {
-    actions->push_back(LogEvent{"counter_silent failures=" + std::to_string(failures_in_a_row_)});
+    actions->push_back(LogEvent{"counter_silent failures=" + std::to_string(consecutive_failures_)});
   }
 }
 
@@ -150,7 +155,7 @@
                                       double now_s, Actions* actions) {
   TenantQuota& quota = tenant->quota;
   if (reply.result != CallResult::kOk) {
-    // After a time-out the units may have been added: reporting them again could count them twice.
+    // After a time-out the counter may have added the units. Reporting them again could count them twice.
     if (reply.result != CallResult::kTimeout) quota.AddUnreported(call.amount);
     return;
   }
@@ -168,10 +173,10 @@
 }
 
 void CounterSchedule::LogLostState(const Tenant& tenant, double now_s, Actions* actions) {
-  if (now_s - lost_state_logged_s_ > kLostStateLogIntervalS) {
+  if (now_s - lost_state_logged_at_s_ > kLostStateLogIntervalS) {
     actions->push_back(LogEvent{"counter_lost_state tenant=" + std::to_string(tenant.id)});
   }
-  lost_state_logged_s_ = now_s;
+  lost_state_logged_at_s_ = now_s;
 }
 
 }  // namespace gateway::policy
--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -23,7 +23,7 @@
 
 void OutcomeFeedback::Record(Backend* backend, const InFlightRequest& request, const Attempt& attempt,
                              const AttemptOutcome& outcome, double now_s, Actions* actions) {
-  bool silent = backend->IsSilentSince(attempt.sent_s);
+  bool silent = backend->IsSilentSince(attempt.sent_at_s);
   if (IsBackendResponse(outcome.result)) backend->last_response_at_s = now_s;
   switch (outcome.result) {
     case CallResult::kOk: {
@@ -54,8 +54,8 @@
 }
 
 double OutcomeFeedback::EstimateLatencyS(const Request& request, const Attempt& attempt, double now_s) const {
-  double max_latency_s = now_s - attempt.sent_s;
-  double min_latency_s = std::min(max_latency_s, running_clock_.At(now_s) - attempt.sent_running_s);
+  double max_latency_s = now_s - attempt.sent_at_s;
+  double min_latency_s = std::min(max_latency_s, running_clock_.At(now_s) - attempt.sent_at_running_s);
   return std::clamp(estimator_.ExpectedLatencyS(request), min_latency_s, max_latency_s);
 }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -31,7 +31,7 @@
   if (request_class.idempotency == Idempotency::kNonIdempotent) return false;
   // The attempt may have to wait for a new connection, so it may be sent as late as one connect timeout from
   // now.
-  double window_end_s = request.first_run_sent_s + request_class.deduplication_window_s -
+  double window_end_s = request.first_run_sent_at_s + request_class.deduplication_window_s -
                         kDeduplicationMarginResolutions * settings_.timer_resolution_s;
   return now_s + settings_.connect_timeout_s < window_end_s;
 }
@@ -56,7 +56,7 @@
                                       double now_s) const {
   // A backend that hangs answers no request at all. A busy one still answers other requests.
   const Attempt& last = request.attempts.back();
-  if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_s)) return false;
+  if (!last.in_flight || backend == nullptr || !backend->IsSilentSince(last.sent_at_s)) return false;
   if (request.attempts_in_flight != 1 || retry_budget_ < 1) return false;
   return ClassOf(request).idempotency == Idempotency::kIdempotent && AllowsAnotherAttempt(request, now_s);
 }
