--- a/src/policy/concurrency_limiter.cpp
+++ b/src/policy/concurrency_limiter.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 constexpr double kMaxLimit = 200;
-// Mean latency share below which no queue is assumed.
+// Mean latency, as a share of the latency objective, below which no queue is assumed.
 constexpr double kNoQueueLatencyShare = 0.2;
 constexpr double kCutFactor = 0.7;
 constexpr double kMinCutIntervalS = 0.1;
-// Minimum weight of one response in the mean.
+// Minimum weight of one response in the mean latency.
 constexpr double kMinSampleWeight = 0.15;
-// Time constant by which the mean decays. It gives a response a higher weight than the minimum when responses
-// are rare.
+// Time constant of the exponential decay of the mean latency. It gives a response a higher weight than the
+// minimum when responses are rare.
 constexpr double kMeanDecayS = 0.7;
 
 }  // namespace
--- a/src/policy/endpoint_selector.cpp
+++ b/src/policy/endpoint_selector.cpp
@@ -10,7 +10,9 @@
 constexpr double kWarmingUpFactor = 0.3;
 constexpr double kMinRandomFactor = 0.95;
 constexpr double kRandomFactorRange = 0.1;
-// Added for each attempt that the request has already had at the backend. Larger than any other cost.
+// Added for each attempt that the request has already had at the backend. It exceeds the usual cost of a
+// backend, so that the request goes to another one. A high relative latency or failure rate together with
+// many attempts in flight can still cost more: for example 25 attempts in flight at a relative latency of 5.
 constexpr double kRepeatedBackendCost = 100;
 
 }  // namespace
--- a/src/policy/endpoint_selector.h
+++ b/src/policy/endpoint_selector.h
@@ -13,8 +13,9 @@
 
 // Selects the usable backend with the lowest cost. The cost is the expected latency, relative latency x (this
 // gateway's attempts in flight there + 1). It is increased for failures and for a backend in another zone,
-// and most for a backend that has already had an attempt of this request. It is reduced for a backend that is
-// warming up, so that such a backend is preferred as long as it has budget left. A random factor breaks ties.
+// and by a large constant for each attempt of this request that the backend has already had. It is reduced
+// for a backend that is warming up, so that such a backend is preferred as long as it has budget left. A
+// random factor breaks ties.
 //
 // A backend is usable if all of the following hold:
 // - it is ready and not ejected;
--- a/src/policy/outcome_feedback.cpp
+++ b/src/policy/outcome_feedback.cpp
@@ -61,8 +61,8 @@
 
 void OutcomeFeedback::RecordResponse(Backend* backend, const Request& request, double cost_units,
                                      double latency_s, double now_s, Actions* actions) {
-  // Responses of a backend that is warming up are ignored: the load that it is sent and what it rejects do
-  // not show what a warmed-up backend can serve.
+  // Slow start ignores the responses of a backend that is warming up: the load that it is sent and what it
+  // rejects do not show what a warmed-up backend can serve.
   if (!backend->warm_up.IsActive()) slow_start_.RecordWarmResponse(request, now_s);
   if (backend->outlier.RecordSuccess()) {
     actions->push_back(LogEvent{"backend_returned" + BackendLogField(*backend)});
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -15,7 +15,7 @@
 // already counts as the last one, so that a timer which fires early is not started again.
 constexpr double kCheckMarginResolutions = 2;
 constexpr double kOutOfTimeResolutions = kCheckMarginResolutions + 1;
-// Margin before the end of the deduplication window, in timer resolutions.
+// A request is not sent again in this many timer resolutions before the end of its deduplication window.
 constexpr double kDeduplicationMarginResolutions = 2;
 
 }  // namespace
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -66,7 +66,7 @@
   RandomSource& random_;
   int warm_backend_count_ = 0;
   double warm_work_s_ = 0;             // work served by one warmed-up backend, with exponential decay
-  double warm_work_updated_at_s_ = 0;  // when `warm_work_s_` was last updated
+  double warm_work_updated_at_s_ = 0;  // when warm_work_s_ was last updated
 };
 
 }  // namespace gateway::policy
