--- a/src/net/backend_connection_pool.h
+++ b/src/net/backend_connection_pool.h
@@ -56,7 +56,8 @@
   // `notified_at`, the time at which the gateway counts as notified, which may be earlier than the time at
   // which it read the list. Does nothing if the backend is not listed or is already draining.
   void Drain(uint32_t backend, Clock::time_point notified_at);
-  // Removes the backend. No new attempt is sent to it; attempts whose request is already written continue.
+  // Removes the backend. No new attempt is sent to it, and an attempt that is still connecting fails once it
+  // is connected. Other attempts in flight continue.
   void Remove(uint32_t backend);
 
   // Sends an attempt and returns its id, which Cancel takes. `on_complete` runs exactly once, never within
--- a/src/net/counter_client.cpp
+++ b/src/net/counter_client.cpp
@@ -17,9 +17,9 @@
 // behind its own.
 constexpr size_t kMaxConnections = 8;
 constexpr size_t kMaxCallsInFlight = 64;  // per connection
-// Lower limits of the time without a byte after which a connection is closed.
+// A connection with calls in flight is closed after the longer of these two times without a byte.
 constexpr auto kMinSilence = std::chrono::milliseconds(1000);
-constexpr int kMinSilenceTimeouts = 2;  // multiple of a call's timeout
+constexpr int kMinSilenceTimeouts = 2;  // as a multiple of a call's timeout
 constexpr auto kMinBackoff = std::chrono::milliseconds(20);
 constexpr auto kMaxBackoff = std::chrono::milliseconds(500);
 
--- a/src/net/counter_connection.h
+++ b/src/net/counter_connection.h
@@ -115,8 +115,8 @@
   bool writing_ = false;
   char read_buffer_[kReadBufferBytes];
   TallyReplyDecoder decoder_;
-  // When bytes were last received, or, if later, when a call was added to a connection that had none in
-  // flight.
+  // When bytes were last received, or, if later, when the connection was established or a call was added to a
+  // connection that had none in flight.
   Clock::time_point last_bytes_at_{};
 };
 
--- a/src/net/discovery_client.cpp
+++ b/src/net/discovery_client.cpp
@@ -11,8 +11,8 @@
 namespace gateway::net {
 namespace {
 
-constexpr int kFailuresBeforeFullList = 3;  // consecutive failures
-constexpr int kMaxBackoffDoublings = 8;     // of the backoff and of the silence limit
+constexpr int kFailuresBeforeFullList = 3;  // number of consecutive failures
+constexpr int kMaxBackoffDoublings = 8;     // limit for the backoff and the silence limit
 
 }  // namespace
 
@@ -158,8 +158,9 @@
   return false;
 }
 
-// After a few failures a watch resumes from the same index. After more, the full list is requested, so that
-// no change is missed even if the agent no longer has the changes since that index.
+// After fewer than kFailuresBeforeFullList consecutive failures a watch resumes from the same index. After
+// more, the full list is requested, so that no change is missed even if the agent no longer has the changes
+// since that index.
 void DiscoveryClient::HandleFailure(Clock::duration exchange_duration) {
   last_failure_duration_ = exchange_duration;
   ++failures_;
--- a/src/net/discovery_exchange.cpp
+++ b/src/net/discovery_exchange.cpp
@@ -113,9 +113,10 @@
   owner_->OnFailed(this);
 }
 
-// Arms the timer for the silence limit, which restarts with each received byte so that a long list has enough
-// time, and at most for the response's deadline. This guards against an agent that falls silent, where a hung
-// process or a disconnected machine does not close the connection, and against a response that never ends.
+// Arms the timer for the silence limit or the response's deadline, whichever ends first. The silence limit
+// restarts with each received byte, so that a long list has enough time. This guards against an agent that
+// falls silent, where a hung process or a disconnected machine does not close the connection, and against a
+// response that never ends.
 void DiscoveryExchange::ArmTimer() {
   Clock::time_point silent_at = Clock::now() + max_silence_;
   timer_.expires_at(overdue_ ? response_deadline_ : std::min(silent_at, response_deadline_));
--- a/src/net/discovery_exchange.h
+++ b/src/net/discovery_exchange.h
@@ -19,8 +19,8 @@
 // OnResponse, OnFailed or Abort(); no callback is called after that.
 class DiscoveryExchange : public std::enable_shared_from_this<DiscoveryExchange> {
  public:
-  // Receives the events of the exchange. Its functions are called within an I/O handler of the exchange or
-  // within Start().
+  // Receives the events of the exchange. Its functions are called within Start() or within a handler of the
+  // exchange's socket or timer.
   class Owner {
    public:
     // Called when a complete response with status 200 has been received.
--- a/src/net/endpoint_list.cpp
+++ b/src/net/endpoint_list.cpp
@@ -43,7 +43,9 @@
   endpoint.weight = entry.value("weight", 1.0);
   endpoint.started_s = entry.value("since_ms", 0.0) / kMsPerS;
   if (!std::isfinite(endpoint.weight) || !std::isfinite(endpoint.started_s)) {
-    throw DiscoveryError("endpoint weight and since_ms must be finite numbers");
+    throw DiscoveryError("endpoint weight and since_ms must be finite numbers, but are " +
+                         std::to_string(endpoint.weight) + " and " +
+                         std::to_string(endpoint.started_s * kMsPerS));
   }
   return {entry.at("name").get<std::string>(), listed};
 }
