--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -50,7 +50,10 @@
   auto it = limits.find(key);
   if (it == limits.end()) return;
   if (!it->is_number_integer() || *it < min || *it > kMaxLimit) {
-    throw ConfigError::Unreadable(std::string("limits.") + key);
+    throw ConfigError::Unreadable(std::string("limits.") + key,
+                                  (it->is_number() ? it->dump() : it->type_name()) +
+                                      ", must be an integer from " + std::to_string(min) + " to " +
+                                      std::to_string(kMaxLimit));
   }
   *limit = it->get<int>();
 }
--- a/src/config/settings_parser.h
+++ b/src/config/settings_parser.h
@@ -30,7 +30,8 @@
   double drain_grace_s = 0;
 };
 
-// Parses the same text as ParseSettings(), and throws in the same cases.
+// Parses these settings from the same text as ParseSettings(). Throws ConfigError with the first of their
+// keys that is missing or has an invalid value.
 DeploymentSettings ParseDeploymentSettings(std::string_view text);
 
 }  // namespace gateway::config
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -28,7 +28,10 @@
   }
 
   std::string_view ReadBytes(size_t count, const char* field) {
-    if (rest_.size() < count) throw FrameError(std::string("frame ends inside ") + field);
+    if (rest_.size() < count) {
+      throw FrameError(std::string("frame ends inside ") + field + ": got " + std::to_string(rest_.size()) +
+                       " of " + std::to_string(count) + " bytes");
+    }
     std::string_view bytes = rest_.substr(0, count);
     rest_.remove_prefix(count);
     return bytes;
@@ -97,7 +100,8 @@
     throw FrameError("table number " + std::to_string(table.table) + " is above the maximum of 15");
   auto count = in->Read<uint32_t>("table length");
   if (count > in->left() / kEndpointBytes)
-    throw FrameError("table holds fewer entries than its length field says");
+    throw FrameError("table holds fewer entries than its length field says: " + std::to_string(in->left()) +
+                     " bytes are left for " + std::to_string(count) + " entries");
   table.endpoints.reserve(count);
   for (uint32_t i = 0; i < count; ++i) table.endpoints.push_back(ReadEndpoint(in));
   return table;
@@ -215,16 +219,22 @@
 EventBatch ParseBatch(std::string_view frame) {
   FieldReader in(frame);
   auto size = in.Read<uint32_t>("frame length");
-  if (size != frame.size()) throw FrameError("frame length does not match the size of the frame");
+  if (size != frame.size())
+    throw FrameError("frame length " + std::to_string(size) +
+                     " does not match the size of the frame, which is " + std::to_string(frame.size()) +
+                     " bytes");
   EventBatch batch;
   batch.now_s = in.Read<double>("clock");
-  if (!std::isfinite(batch.now_s)) throw FrameError("clock is not a finite number");
+  if (!std::isfinite(batch.now_s))
+    throw FrameError("clock is not a finite number: " + std::to_string(batch.now_s));
   auto records = in.Read<uint32_t>("record count");
   if (records > in.left() / kMinRecordBytes)
-    throw FrameError("frame holds fewer records than its header says");
+    throw FrameError("frame holds fewer records than its header says: " + std::to_string(in.left()) +
+                     " bytes are left for " + std::to_string(records) + " records");
   batch.events.reserve(records);
   for (uint32_t i = 0; i < records; ++i) batch.events.push_back(ReadEvent(&in));
-  if (in.left() != 0) throw FrameError("frame has bytes after its last record");
+  if (in.left() != 0)
+    throw FrameError("frame has " + std::to_string(in.left()) + " bytes after its last record");
   return batch;
 }
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,6 +1,6 @@
 // The simulator-adapter program runs the admission policies of many simulated gateways and exchanges frames
 // with the simulator on standard input and output. It exits with status 0 at the end of its input, and with
-// status 1 and a message on standard error if the input is invalid.
+// status 1 and a message on standard error if the input is invalid or a reply cannot be written.
 #include <cstdio>
 #include <exception>
 #include <optional>
