--- a/lab/soak/checks.cpp
+++ b/lab/soak/checks.cpp
@@ -12,7 +12,8 @@
 constexpr double kMaxAnswerDelayS = 0.5;
 constexpr double kMaxAttemptAfterClientLeftS = 0.1;
 constexpr double kForwardedTimeoutSlackS = 0.15;
-// On a busy machine the thread of a stand-in notices only late that a gateway closed an attempt's connection.
+// Additional slack, because on a busy machine the thread of a stand-in notices late that a gateway closed an
+// attempt's connection.
 constexpr double kCloseDetectionDelayS = 0.25;
 constexpr int kMaxAttempts = 4;  // the value of limits.try-limit in MakeConfiguration()
 
@@ -92,7 +93,7 @@
         request.timeout_s + kMaxAnswerDelayS + SlackS(request.gateway, request.sent_s, request.ended_s);
     if (took_s <= allowed_s) return;
     AddViolation(Rule::kAnswerInTime, request.ended_s, request.id,
-                 Format("response after %.3f s, allowed are %.3f s", took_s, allowed_s));
+                 Format("response after %.3f s, the limit is %.3f s", took_s, allowed_s));
   }
 
   void CheckClosedUnread(const RequestRecord& request) {
@@ -115,7 +116,7 @@
       if (after_s <= allowed_s) continue;
       AddViolation(
           Rule::kClientLeft, attempt->first_byte_s, request.id,
-          Format("an attempt began %.3f s after the client left, allowed are %.3f s", after_s, allowed_s));
+          Format("an attempt began %.3f s after the client left, the limit is %.3f s", after_s, allowed_s));
     }
   }
 
@@ -148,7 +149,7 @@
     if (attempt.forwarded_timeout_s > allowed_s) {
       AddViolation(
           Rule::kForwardedTimeout, attempt.received_s, attempt.request_id,
-          Format("forwarded timeout is %.3f s, allowed are %.3f s", attempt.forwarded_timeout_s, allowed_s));
+          Format("forwarded timeout is %.3f s, the limit is %.3f s", attempt.forwarded_timeout_s, allowed_s));
     }
     CheckDrain(attempt, request->gateway);
   }
@@ -162,12 +163,12 @@
       if (after_s <= allowed_s) continue;
       AddViolation(Rule::kDrain, attempt.first_byte_s, attempt.request_id,
                    "backend " + std::to_string(attempt.backend) +
-                       Format(", %.3f s after the notice, allowed are %.3f s", after_s, allowed_s));
+                       Format(", %.3f s after the notice, the limit is %.3f s", after_s, allowed_s));
     }
   }
 
   // Returns the time at which the gateway process that ran at `at_s` counts as notified. That is not before
-  // the process started, and not while the agent was silent at that time.
+  // the process started and, if the agent was silent at that start, not before its silence ended.
   double NotifiedS(const NoticeRecord& notice, int gateway, double at_s) const {
     double notified_s = notice.notified_s;
     for (const StartRecord& start : history_.starts) {
--- a/lab/soak/checks.h
+++ b/lab/soak/checks.h
@@ -17,7 +17,8 @@
   kReadIsAnswered,
   // The gateway does not close the connection of a request that it forwarded and has not responded to.
   kForwardedIsAnswered,
-  // A request is not lost twice because the gateway closed the connection before it read the request.
+  // The gateway closes the connection of a request unread at most once: it reads the request when the client
+  // resends it.
   kClosedUnreadOnce,
   // No attempt begins more than 0.1 s after its client left.
   kClientLeft,
--- a/lab/soak/history.h
+++ b/lab/soak/history.h
@@ -19,13 +19,14 @@
 enum class RequestOutcome {
   kPending,
   kAnswered,
-  kClosedRead,    // the gateway closed the connection after it had read the request
-  kClosedUnread,  // the gateway closed the connection, or answered with "Connection: close", before it read
-                  // the request
-  kNoAnswer,      // no response arrived while the client waited
-  kClientLeft,    // the client closed the connection before a response
-  kGatewayDown,   // the gateway was killed
-  kUnobserved,    // the client closed the connection while a response arrived
+  kClosedRead,  // the gateway closed the connection after it had read the request
+  // The gateway closed the connection before it read the request, perhaps after it had answered an earlier
+  // request on it with "Connection: close".
+  kClosedUnread,
+  kNoAnswer,     // no response arrived while the client waited
+  kClientLeft,   // the client closed the connection before a response
+  kGatewayDown,  // the gateway was killed
+  kUnobserved,   // the client closed the connection while a response arrived
 };
 
 // One transmission of a request. A request that is resent, because the gateway closed the connection before
@@ -75,7 +76,8 @@
 struct NoticeRecord {
   int backend = 0;
   double notified_s = 0;
-  // When the backend was listed as ready again; after the end of the soak if it never was.
+  // When the backend was listed as ready again. If it never was, 120 s, which is meant to be after the end of
+  // the soak.
   double until_s = 0;
 };
 
--- a/lab/soak/stand_ins.cpp
+++ b/lab/soak/stand_ins.cpp
@@ -12,7 +12,8 @@
 
 using nlohmann::json;
 
-// Longer than any request lasts. A connection that is idle for this time has been abandoned.
+// Longer than any request lasts. A connection that is idle for this time has been abandoned. It also stands
+// for the end of a notice that is not over yet.
 constexpr double kIdleTimeoutS = 120;
 
 std::string Response(const std::string& status, const std::string& fields, const std::string& body) {
--- a/lab/soak/supervised_gateway.cpp
+++ b/lab/soak/supervised_gateway.cpp
@@ -107,7 +107,7 @@
   double repeat_after_s = random.Between(0, 0.4);
   if (random.Uniform() < 0.3) Signal(SIGHUP);
   std::atomic<bool> ended{false};
-  // The signals are repeated in the way an operator's tools repeat them until the process has ended.
+  // Half of the restarts send SIGTERM again and again until the process has ended, as an operator's tools do.
   std::thread signals([&, in_series = random.Uniform() < 0.5] {
     Sleep(repeat_after_s);
     Signal(SIGTERM);
--- a/lab/soak/supervised_gateway.h
+++ b/lab/soak/supervised_gateway.h
@@ -18,7 +18,7 @@
 // The state of a gateway as its clients know it.
 struct GatewayView {
   int port = 0;
-  bool in_service = false;  // the gateway accepts new clients
+  bool in_service = false;  // clients may open new connections to the gateway
   int kills = 0;            // number of SIGKILLs so far, each counted before it is sent
 };
 
@@ -42,8 +42,9 @@
   void Pause(double duration_s);
   // Kills the process and starts it again.
   void Kill(const nlohmann::json& cached_list);
-  // Sends SIGTERM, repeats it after a while, sends one or two SIGHUPs, sends SIGKILL at the earliest time
-  // allowed if the process still runs, and starts it again. `draw` seeds the random choices.
+  // Sends SIGTERM, repeats it once or until the process has ended, and sends one or two SIGHUPs. Sends
+  // SIGKILL at the earliest time allowed if the process still runs, and starts it again. `draw` seeds the
+  // random choices.
   void Restart(const nlohmann::json& cached_list, uint64_t draw);
   // Sends SIGTERM and waits for the process to end. Sends SIGKILL at the earliest time allowed.
   void Terminate();
