--- a/lab/backend_model.h
+++ b/lab/backend_model.h
@@ -1,4 +1,5 @@
-// The backends of a simulated fleet: cores that serve one request each in turn, slower while warming up.
+// Models the backends of a simulated fleet. Each core of a backend serves one request at a time, and serves
+// it more slowly while the backend warms up.
 #ifndef GATEWAY_LAB_BACKEND_MODEL_H_
 #define GATEWAY_LAB_BACKEND_MODEL_H_
 
@@ -14,28 +15,30 @@
 struct BackendOptions {
   int cores = 3;
   double slow_start_initial_fraction = 0.17;  // of full capacity, right after a restart
-  double slow_start_duration_s = 17;          // until full capacity, which rises evenly
-  double max_queueing_s = 2;                  // a request that would wait longer is rejected
+  double slow_start_duration_s = 17;          // the capacity rises linearly to full capacity in this time
+  double max_queueing_s = 2;                  // a request that would have to queue longer is rejected
 };
 
-// One backend since its last start. Not thread-safe.
+// Models one backend since its last start. A request is served by the core that becomes free first. Not
+// thread-safe.
 class SimulatedBackend {
  public:
-  // `restarted_s`: the clock of a restart during the simulation; 0: warm from the beginning.
-  SimulatedBackend(const BackendOptions& options, double restarted_s);
+  // `restarted_at_s` is the simulated time of the restart, or 0 if the backend has full capacity from the
+  // beginning.
+  SimulatedBackend(const BackendOptions& options, double restarted_at_s);
 
-  // Its present capacity as a share of the full one.
+  // Returns the current capacity as a fraction of full capacity.
   double CapacityFraction(double now_s) const;
 
-  // A request that arrives at `now_s` and takes `work_s` on a core of full capacity. Returns when it is done,
-  // or nothing where it is rejected.
+  // Serves a request that arrives at `now_s` and takes `work_s` on a core of full capacity. Returns the time
+  // at which it is done, or nothing if it is rejected.
   std::optional<double> Serve(double now_s, double work_s);
 
   void OnConnectionOpened();
   void OnConnectionClosed() { --connections_; }
 
-  bool restarted() const { return restarted_s_ > 0; }
-  double restarted_s() const { return restarted_s_; }
+  bool restarted() const { return restarted_at_s_ > 0; }
+  double restarted_at_s() const { return restarted_at_s_; }
   int cores() const { return options_.cores; }
   int connections() const { return connections_; }
   int max_connections() const { return max_connections_; }
@@ -43,14 +46,14 @@
 
  private:
   BackendOptions options_;
-  double restarted_s_;
-  std::vector<double> core_free_s_;  // when each core has served all requests so far
+  double restarted_at_s_;
+  std::vector<double> core_free_at_s_;  // when each core will have served all its requests
   int connections_ = 0;
   int max_connections_ = 0;
   double served_work_s_ = 0;
 };
 
-// All backends of a fleet, by index from 0.
+// Holds all backends of a fleet, indexed from 0.
 class BackendModel {
  public:
   BackendModel(int count, int zones, const BackendOptions& options);
@@ -59,12 +62,13 @@
   SimulatedBackend& at(int index) { return backends_[static_cast<size_t>(index)]; }
   const std::vector<SimulatedBackend>& backends() const { return backends_; }
 
-  // Replaces the backend by one of the same name that begins to warm up. Its connections are gone.
+  // Replaces the backend with one of the same name that begins to warm up and has no connections.
   void Restart(int index, double now_s);
 
-  // The backend as discovery lists it. `restarted_s`: clock of the restart that discovery knows of; 0: none.
-  policy::Endpoint DescribeEndpoint(int index, double restarted_s) const;
-  // The endpoint list before any restart.
+  // Returns the backend as discovery lists it. `restarted_at_s` is the time of the last restart that
+  // discovery knows of, or 0 if there was none.
+  policy::Endpoint DescribeEndpoint(int index, double restarted_at_s) const;
+  // Returns the endpoint list before any restart.
   std::vector<policy::Endpoint> InitialEndpoints() const;
 
   static uint32_t IdOf(int index) { return static_cast<uint32_t>(index) + 1; }
--- a/lab/capacity_experiment.cpp
+++ b/lab/capacity_experiment.cpp
@@ -21,27 +21,28 @@
 constexpr int kGatewayCount = 780;
 constexpr int kZones = 7;
 
-// Decisions.
+// Measurements of the decision module.
 constexpr uint64_t kPolicySeed = 1;
-constexpr double kFullListS = 1000;  // clocks of the events
+// Times of the events on the policy's clock.
+constexpr double kFullListS = 1000;
 constexpr double kRepeatedListS = 1000.1;
 constexpr double kFirstRequestS = 1001;
-constexpr double kRequestIntervalS = 0.0065;  // 154 a second
+constexpr double kRequestIntervalS = 0.0065;  // 154 requests per second
 constexpr double kAttemptDurationS = 0.1;
 constexpr double kRequestTimeLeftS = 3;
 constexpr int kRequestTenants = 1000;
-// Requests times backends, which the time of a measurement grows with.
+// The duration of a measurement is proportional to the number of requests times the number of backends.
 constexpr int kRequestsTimesBackends = 4000000;
 constexpr int kMinRequests = 500, kMaxRequests = 100000;
-constexpr int kMinBackendsOfFit = 200;
+constexpr int kMinBackendsForFit = 200;  // fewer backends are left out of the line fit
 
-// Fleets.
-constexpr int kLargeFleetGateways = 500;  // with more, it has kZones zones
+// Simulations of fleets.
+constexpr int kLargeFleetGateways = 500;  // a fleet with more gateways has kZones zones
 constexpr size_t kBriefFleets = 2;
 
 size_t HeapBytesInUse() {
   const struct mallinfo2 heap = mallinfo2();
-  return heap.uordblks + heap.hblkhd;  // in the arenas, and mapped
+  return heap.uordblks + heap.hblkhd;  // bytes in the arenas and in mapped blocks
 }
 
 policy::Settings MakePolicySettings() {
@@ -62,7 +63,7 @@
   return endpoints;
 }
 
-// Milliseconds of processor time.
+// Returns the processor time in milliseconds that the policy needs for a full endpoint list.
 double MeasureFullListMs(policy::AdmissionPolicy* policy, double now_s,
                          const std::vector<policy::Endpoint>& endpoints, policy::Actions* actions) {
   double begin_s = ThreadProcessorSeconds();
@@ -70,8 +71,8 @@
   return 1e3 * (ThreadProcessorSeconds() - begin_s);
 }
 
-// A request whose attempts are all served.
-void DecideRequest(policy::AdmissionPolicy* policy, int number, double now_s, policy::Actions* actions) {
+// Passes one request to the policy and reports all its attempts as served.
+void ProcessRequest(policy::AdmissionPolicy* policy, int number, double now_s, policy::Actions* actions) {
   actions->clear();
   policy::Request request;
   request.id = static_cast<uint32_t>(number);
@@ -90,19 +91,19 @@
   }
 }
 
-// Microseconds of processor time a request.
+// Returns the mean processor time per request in microseconds.
 double MeasureDecisionUs(policy::AdmissionPolicy* policy, int backends, policy::Actions* actions) {
   int requests = std::clamp(kRequestsTimesBackends / backends, kMinRequests, kMaxRequests);
   double begin_s = ThreadProcessorSeconds();
   double now_s = kFirstRequestS;
   for (int i = 1; i <= requests; ++i) {
     now_s += kRequestIntervalS;
-    DecideRequest(policy, i, now_s, actions);
+    ProcessRequest(policy, i, now_s, actions);
   }
   return 1e6 * (ThreadProcessorSeconds() - begin_s) / requests;
 }
 
-// `unit`: for a thousand of the line's x.
+// Formats the fitted line. `unit` is the unit of the slope per 1000 of x.
 std::string FormatLine(const Line& line, const std::string& unit) {
   return FormatDecimal(line.intercept, 3) + " + " + FormatDecimal(line.slope * 1000, 3) + " " + unit +
          ", off by " + FormatDecimal(100 * line.max_relative_error, 0) + "% at the most";
@@ -119,26 +120,28 @@
       {"memory MB", [](const PolicyCost& cost) { return FormatDecimal(cost.memory_bytes / (1 << 20)); }}};
   Report report = MakeReport("The module's processor time and memory (one gateway)", kColumns, costs);
 
-  std::vector<double> backends, thousands_squared, decision_us, full_list_ms;
+  std::vector<double> backends, backends_squared_in_thousands, decision_us, full_list_ms;
   for (const PolicyCost& cost : costs) {
-    if (cost.backends < kMinBackendsOfFit) continue;
+    if (cost.backends < kMinBackendsForFit) continue;
     backends.push_back(cost.backends);
-    thousands_squared.push_back(1e-3 * cost.backends * cost.backends);
+    backends_squared_in_thousands.push_back(1e-3 * cost.backends * cost.backends);
     decision_us.push_back(cost.decision_us);
     full_list_ms.push_back(cost.full_list_ms);
   }
-  report.AddRow({"fit of all from " + std::to_string(kMinBackendsOfFit) + " on",
-                 FormatLine(FitLine(backends, decision_us), "us a thousand backends"),
-                 FormatLine(FitLine(thousands_squared, full_list_ms), "ms a million of their square"), "-"});
+  report.AddRow(
+      {"fit of all from " + std::to_string(kMinBackendsForFit) + " on",
+       FormatLine(FitLine(backends, decision_us), "us a thousand backends"),
+       FormatLine(FitLine(backends_squared_in_thousands, full_list_ms), "ms a million of their square"),
+       "-"});
   return report;
 }
 
 Report MeasureGatewayProcesses(const std::string& program, bool brief) {
-  // Changes a second. 2,300 restarts a day are 0.05, with two changes each; 84% of thirty backends within 20
-  // s are 1.3.
-  constexpr double kHighestRate = 20;
+  // 0.05 changes per second are 2,300 restarts a day with two changes each. 1.3 changes per second occur when
+  // 84% of 30 backends change within 20 s.
+  constexpr double kMaxChangesPerS = 20;
   const std::vector<double> change_rates =
-      brief ? std::vector<double>{0, kHighestRate} : std::vector<double>{0, 0.05, 1.3, kHighestRate};
+      brief ? std::vector<double>{0, kMaxChangesPerS} : std::vector<double>{0, 0.05, 1.3, kMaxChangesPerS};
   std::vector<GatewayProcessRun> runs;
   for (int backends : {20, 200, 2000, 6700}) {
     for (double changes_per_s : change_rates) {
@@ -205,7 +208,7 @@
   size_t heap_bytes = HeapBytesInUse();
   double first_ms = MeasureFullListMs(&policy, kFullListS, endpoints, &actions);
   cost.memory_bytes = static_cast<double>(HeapBytesInUse()) - static_cast<double>(heap_bytes);
-  // A gateway gets a second full list while it serves when its watch has fallen behind.
+  // A gateway whose watch has fallen behind receives another full list while it serves requests.
   double second_ms = MeasureFullListMs(&policy, kRepeatedListS, endpoints, &actions);
   cost.full_list_ms = std::max(first_ms, second_ms);
   cost.decision_us = MeasureDecisionUs(&policy, backends, &actions);
--- a/lab/capacity_experiment.h
+++ b/lab/capacity_experiment.h
@@ -1,4 +1,4 @@
-// The measurements behind docs/CAPACITY.md, and the lines fitted through them.
+// Makes the measurements for docs/CAPACITY.md and fits lines to them.
 #ifndef GATEWAY_LAB_CAPACITY_EXPERIMENT_H_
 #define GATEWAY_LAB_CAPACITY_EXPERIMENT_H_
 
@@ -9,19 +9,20 @@
 
 namespace gateway::lab {
 
-// What the decision module costs one gateway.
+// The resources that the decision module of one gateway uses.
 struct PolicyCost {
   int backends = 0;
-  double decision_us = 0;   // processor time of a request
-  double full_list_ms = 0;  // processor time of a full endpoint list
-  double memory_bytes = 0;  // that a full list takes
+  double decision_us = 0;   // processor time per request
+  double full_list_ms = 0;  // processor time for a full endpoint list
+  double memory_bytes = 0;  // heap memory that a full endpoint list takes
 };
 
-// Decides on requests of one gateway that has so many backends, in a loop. Takes up to a few seconds.
+// Measures the decision module of one gateway that has `backends` backends. Takes up to a few seconds.
 PolicyCost MeasurePolicyCost(int backends);
 
-// Runs all experiments one after another, and returns the tables of the page in their order. `program`: path
-// of the real gateway. `brief`: fewer and shorter runs. Throws as MeasureGatewayProcess does.
+// Runs all experiments one after another and returns the tables in the order of docs/CAPACITY.md. `program`
+// is the path of the real gateway; `brief` makes fewer and shorter runs. Throws the exceptions of
+// MeasureGatewayProcess.
 std::vector<Report> RunCapacityExperiment(const std::string& program, bool brief);
 
 }  // namespace gateway::lab
--- a/lab/child_process.cpp
+++ b/lab/child_process.cpp
@@ -17,9 +17,9 @@
 namespace gateway::lab {
 namespace {
 
-constexpr int kExitCannotExecute = 127;  // as shells report it
+constexpr int kExitStatusCannotExecute = 127;  // the status that shells report
 
-// The environment with one variable more, as execve takes it.
+// Returns the environment of this process, in the format of execve, with `variable` set to `value`.
 std::vector<std::string> EnvironmentWith(const std::string& variable, const std::string& value) {
   std::vector<std::string> environment;
   for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -29,14 +29,15 @@
   return environment;
 }
 
-// Between fork and the program's start, where only async-signal-safe calls are allowed. Does not return.
-[[noreturn]] void Execute(const char* program, char* const* environment, const char* output) {
-  int log = open(output, O_WRONLY | O_CREAT | O_APPEND, 0644);
-  dup2(log, STDOUT_FILENO);
-  dup2(log, STDERR_FILENO);
+// Executes the program in the child process after fork, where only async-signal-safe calls are allowed. Does
+// not return.
+[[noreturn]] void ExecuteProgram(const char* program, char* const* environment, const char* output) {
+  int output_file = open(output, O_WRONLY | O_CREAT | O_APPEND, 0644);
+  dup2(output_file, STDOUT_FILENO);
+  dup2(output_file, STDERR_FILENO);
   char* const arguments[] = {const_cast<char*>(program), nullptr};
   execve(program, arguments, environment);
-  _exit(kExitCannotExecute);
+  _exit(kExitStatusCannotExecute);
 }
 
 }  // namespace
@@ -44,7 +45,7 @@
 TemporaryFile::TemporaryFile(const std::string& content) {
   char path[] = "/tmp/gateway-lab-XXXXXX";
   int file = mkstemp(path);
-  if (file < 0) throw std::runtime_error("cannot write a configuration");
+  if (file < 0) throw std::runtime_error("cannot create a temporary file in /tmp");
   close(file);
   path_ = path;
   std::ofstream(path_) << content;
@@ -60,7 +61,7 @@
   for (std::string& entry : environment) pointers.push_back(entry.data());
   pointers.push_back(nullptr);
   pid_ = fork();
-  if (pid_ == 0) Execute(program.c_str(), pointers.data(), output.c_str());
+  if (pid_ == 0) ExecuteProgram(program.c_str(), pointers.data(), output.c_str());
 }
 
 ChildProcess::~ChildProcess() {
@@ -83,16 +84,16 @@
 }
 
 int ChildProcess::OpenDescriptors() const {
-  std::error_code gone;
-  std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/fd", gone);
-  return gone ? 0 : static_cast<int>(std::distance(begin(entries), end(entries)));
+  std::error_code error;
+  std::filesystem::directory_iterator entries("/proc/" + std::to_string(pid_) + "/fd", error);
+  return error ? 0 : static_cast<int>(std::distance(begin(entries), end(entries)));
 }
 
 double ChildProcess::ProcessorSeconds() const {
   std::ifstream stat("/proc/" + std::to_string(pid_) + "/stat");
   std::string text((std::istreambuf_iterator<char>(stat)), {});
-  // The program's name, in parentheses, may hold blanks. After it come the fields from the third on; user and
-  // system time are the 14th and 15th (proc(5)).
+  // The second field is the program's name in parentheses, which may contain blanks. The fields from the
+  // third on follow it; user and system time are the 14th and the 15th field (proc(5)).
   size_t name_end = text.rfind(')');
   if (name_end == std::string::npos) return 0;
   std::istringstream fields(text.substr(name_end + 2));
--- a/lab/child_process.h
+++ b/lab/child_process.h
@@ -1,4 +1,4 @@
-// A program that runs beside the lab, and a file to configure it with.
+// Runs a program as a child process of the lab, with a temporary configuration file.
 #ifndef GATEWAY_LAB_CHILD_PROCESS_H_
 #define GATEWAY_LAB_CHILD_PROCESS_H_
 
@@ -12,7 +12,7 @@
 // A file under /tmp that is removed on destruction.
 class TemporaryFile {
  public:
-  // Throws std::runtime_error where the file can't be made.
+  // Throws std::runtime_error if the file cannot be created.
   explicit TemporaryFile(const std::string& content);
   ~TemporaryFile();
   TemporaryFile(const TemporaryFile&) = delete;
@@ -24,11 +24,12 @@
   std::string path_;
 };
 
-// A child process. Killed and waited for on destruction.
+// A child process that is killed and waited for on destruction.
 class ChildProcess {
  public:
-  // Starts `program`, without arguments, with one variable more in its environment. What it writes is
-  // appended to the file `output`. A program that can't be started shows as a process that is not running.
+  // Starts `program` without arguments and with `variable` set to `value` in its environment. Its standard
+  // output and standard error are appended to the file `output`. If the program cannot be started, the
+  // process counts as not running.
   ChildProcess(const std::string& program, const std::string& variable, const std::string& value,
                const std::string& output = "/dev/null");
   ~ChildProcess();
@@ -36,19 +37,20 @@
   ChildProcess& operator=(const ChildProcess&) = delete;
 
   bool IsRunning() { return pid_ > 0 && !ExitStatus().has_value(); }
-  // Of a process that has ended: its exit status, or the negative number of the signal that ended it.
+  // Returns the exit status of a process that has ended, or the negated number of the signal that ended it.
+  // Returns nothing while the process runs.
   std::optional<int> ExitStatus();
-  // Does nothing to a process that has ended.
+  // Sends a signal. Does nothing if the process has ended.
   void Signal(int signal);
-  // Descriptors that it has open. 0 where the process is gone.
+  // Returns the number of open file descriptors, or 0 if the process has ended.
   int OpenDescriptors() const;
-  // Of user and system together, since its start. 0 where the process is gone.
+  // Returns the user and system time since the start of the process, or 0 if the process has ended.
   double ProcessorSeconds() const;
-  // The highest so far. 0 where the process is gone.
+  // Returns the peak resident memory so far, or 0 if the process has ended.
   double MaxResidentMb() const;
 
  private:
-  pid_t pid_ = -1;  // -1: not started, or ended and waited for
+  pid_t pid_ = -1;  // -1 if the process was not started, or has ended and was waited for
   std::optional<int> exit_status_;
 };
 
--- a/lab/client_model.cpp
+++ b/lab/client_model.cpp
@@ -11,8 +11,8 @@
 constexpr int kMaxRetries = 2;
 constexpr double kMinRetryBackoffS = 0.05;
 constexpr double kRetryJitterS = 0.3;
-constexpr double kMinTimeForRetryS = 0.05;  // with less left the client gives up
-constexpr double kMinDemand = 1e-9;         // a divisor above 0 where there is no load
+constexpr double kMinTimeForRetryS = 0.05;  // the client gives up if less time is left
+constexpr double kMinDemand = 1e-9;         // avoids a division by zero if there is no load
 
 double WorkScale(const FleetOptions& options, double in_quota_requests_per_s) {
   const TrafficOptions& traffic = options.traffic;
@@ -29,7 +29,7 @@
 
 double ClientModel::ClassWorkS(int request_class) const {
   if (options_.request_classes < 2) return options_.mean_work_s;
-  // From half of the mean to one and a half of it.
+  // The classes range from 0.5 to 1.5 times the mean.
   return options_.mean_work_s * (0.5 + static_cast<double>(request_class) / (options_.request_classes - 1));
 }
 
@@ -38,11 +38,11 @@
   request.tenant = tenants.DrawTenant(random);
   request.request_class = random->Below(options_.request_classes);
   request.cost_units = 1 + std::floor(random->Uniform() * options_.max_cost_units);
-  // Work grows with the cost, as at a site where the cost is the request's size.
+  // Work is proportional to the cost, as in a deployment where the cost is the size of the request.
   request.work_s = ClassWorkS(request.request_class) * work_scale_ * request.cost_units /
                    MeanCostUnits(options_.max_cost_units) * random->Between(0.7, 1.3);
-  request.first_sent_s = now_s;
-  request.patience_s = kDeadlineS * random->Between(0.5, 1);
+  request.first_sent_at_s = now_s;
+  request.timeout_s = kDeadlineS * random->Between(0.5, 1);
   return request;
 }
 
@@ -50,7 +50,7 @@
                                                   double now_s, Random* random) const {
   if (request.retries >= kMaxRetries) return std::nullopt;
   double delay_s = std::max(retry_after_s, kMinRetryBackoffS + kRetryJitterS * random->Uniform());
-  if (now_s + delay_s - request.first_sent_s >= request.patience_s - kMinTimeForRetryS) return std::nullopt;
+  if (now_s + delay_s - request.first_sent_at_s >= request.timeout_s - kMinTimeForRetryS) return std::nullopt;
   return delay_s;
 }
 
--- a/lab/discovery_stub.cpp
+++ b/lab/discovery_stub.cpp
@@ -17,11 +17,11 @@
 
 constexpr uint64_t kInitialIndex = 1;
 constexpr size_t kMaxRequestBytes = 65536;
-constexpr uint64_t kRestartBaseMs = 1700000000000;  // clock of the restarts, in Unix time
+constexpr uint64_t kRestartBaseMs = 1700000000000;  // Unix time to which the index of a restart is added
 constexpr int kZones = 7;
-constexpr int kBackendsInGroup = 8;
+constexpr int kBackendsPerGroup = 8;
 
-// The number that follows `name` in a request line; nothing where that is not in it.
+// Returns the number that follows `name` in a request line, or nothing if the line does not contain `name`.
 std::optional<uint64_t> QueryNumber(const std::string& request_line, const std::string& name) {
   size_t begin = request_line.find(name);
   if (begin == std::string::npos) return std::nullopt;
@@ -38,7 +38,7 @@
           {"address", address},
           {"zone", std::string(1, static_cast<char>('a' + index % kZones))},
           {"type", "m2"},
-          {"group", index / kBackendsInGroup},
+          {"group", index / kBackendsPerGroup},
           {"status", "active"},
           {"weight", 1.0},
           {"since_ms", restarted_ms}};
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-// One connection: a request's head, then its reply, again and again. Lives as long as an operation of it is
-// outstanding or the stub lists it.
+// Serves one connection: reads the header of a request, replies to it, and reads the next request. A session
+// lives as long as one of its operations is outstanding or the stub's set of sessions contains it.
 class DiscoveryStub::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(DiscoveryStub* stub, tcp::socket socket)
@@ -63,18 +63,18 @@
                                   });
   }
 
-  // The list changed: a watch that waits for that is answered.
+  // Replies to a waiting watch after the list has changed.
   void OnListChanged() {
-    if (watching_ && stub_->index_ > *after_) Reply();
+    if (watching_ && stub_->index_ > *after_index_) Reply();
   }
 
  private:
   void OnRequest(const std::string& head) {
     ++stub_->calls_;
     std::string request_line = head.substr(0, head.find("\r\n"));
-    after_ = QueryNumber(request_line, "after=");
+    after_index_ = QueryNumber(request_line, "after=");
     std::optional<uint64_t> wait_ms = QueryNumber(request_line, "wait_ms=");
-    if (!after_ || stub_->index_ > *after_ || !wait_ms) return Reply();
+    if (!after_index_ || stub_->index_ > *after_index_ || !wait_ms) return Reply();
     watching_ = true;
     watch_timer_.expires_after(std::chrono::milliseconds(*wait_ms));
     watch_timer_.async_wait([self = shared_from_this()](error_code cancelled) {
@@ -85,7 +85,7 @@
   void Reply() {
     watching_ = false;
     watch_timer_.cancel();
-    std::string body = after_ ? stub_->ChangedSince(*after_) : stub_->FullList(stub_->index_);
+    std::string body = after_index_ ? stub_->ChangedSince(*after_index_) : stub_->FullList(stub_->index_);
     sent_ = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     stub_->bytes_sent_ += sent_.size();
     boost::asio::async_write(socket_, boost::asio::buffer(sent_),
@@ -106,8 +106,8 @@
   boost::asio::steady_timer watch_timer_;
   std::string received_;
   std::string sent_;
-  std::optional<uint64_t> after_;  // of the last request; none: it asked for the full list
-  bool watching_ = false;          // a request waits for a change
+  std::optional<uint64_t> after_index_;  // index in the last request; empty if it asked for the full list
+  bool watching_ = false;                // whether a watch waits for a change
 };
 
 DiscoveryStub::DiscoveryStub(int backends, double changes_per_s)
@@ -144,7 +144,7 @@
   change_timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     ++index_;
-    auto sessions = sessions_;  // a reply may close its session
+    auto sessions = sessions_;  // a copy, because a reply may close its session
     for (const auto& session : sessions) session->OnListChanged();
     ScheduleChange();
   });
@@ -158,13 +158,13 @@
   return json{{"index", index}, {"snapshot", true}, {"endpoints", endpoints}}.dump();
 }
 
-std::string DiscoveryStub::ChangedSince(uint64_t after) const {
-  // The change to index i is a restart of backend i modulo their number, so the last `backends_` changes name
+std::string DiscoveryStub::ChangedSince(uint64_t after_index) const {
+  // The change with index i is a restart of backend i % backends_, so the last `backends_` changes contain
   // each backend once.
   auto backends = static_cast<uint64_t>(backends_);
   uint64_t oldest = index_ > backends ? index_ - backends + 1 : 0;
   json endpoints = json::array();
-  for (uint64_t i = std::max(after + 1, oldest); i <= index_; ++i) {
+  for (uint64_t i = std::max(after_index + 1, oldest); i <= index_; ++i) {
     endpoints.push_back(DescribeBackend(static_cast<int>(i % backends), kRestartBaseMs + i));
   }
   return json{{"index", index_}, {"snapshot", false}, {"endpoints", endpoints}}.dump();
--- a/lab/event_queue.h
+++ b/lab/event_queue.h
@@ -1,4 +1,4 @@
-// Simulated time: a queue of events on a clock that only they move.
+// Simulated time: a queue of events whose execution advances the clock.
 #ifndef GATEWAY_LAB_EVENT_QUEUE_H_
 #define GATEWAY_LAB_EVENT_QUEUE_H_
 
@@ -10,25 +10,25 @@
 
 namespace gateway::lab {
 
-// Runs callbacks in the order of their times, and of their scheduling where the times are equal. Not
-// thread-safe. A callback may schedule further events.
+// Runs callbacks in the order of their times, and in the order in which they were scheduled if the times are
+// equal. A callback may schedule further events. Not thread-safe.
 class EventQueue {
  public:
   explicit EventQueue(double start_s) : now_s_(start_s) {}
 
-  // The simulated clock: the time of the event that runs, or the end of the last RunUntil.
+  // Returns the simulated time: the time of the running event, or the end of the last RunUntil.
   double now_s() const { return now_s_; }
 
-  // Runs `callback` at `time_s`, or as soon as possible where that has passed.
+  // Schedules `callback` for `time_s`, or for the current time if `time_s` has passed.
   void Schedule(double time_s, std::function<void()> callback) {
     events_.push({time_s < now_s_ ? now_s_ : time_s, ++last_sequence_, std::move(callback)});
   }
 
-  // Runs all events up to and including `end_s`, and leaves the clock there.
+  // Runs all events up to and including `end_s` and sets the clock to `end_s`.
   void RunUntil(double end_s) {
     while (!events_.empty() && events_.top().time_s <= end_s) {
-      // std::priority_queue gives no access for a move. The moved-from callback takes no part in the order,
-      // and pop() follows at once.
+      // std::priority_queue has no operation that moves an element out. The move is safe because the order
+      // does not depend on the callback and pop() follows immediately.
       Event event = std::move(const_cast<Event&>(events_.top()));
       events_.pop();
       now_s_ = event.time_s;
@@ -42,7 +42,7 @@
     double time_s;
     uint64_t sequence;
     std::function<void()> callback;
-    // std::priority_queue pops the greatest: the earliest event.
+    // std::priority_queue pops the greatest element, so the earliest event has to be the greatest.
     bool operator<(const Event& other) const {
       return time_s != other.time_s ? time_s > other.time_s : sequence > other.sequence;
     }
--- a/lab/fleet_metrics.cpp
+++ b/lab/fleet_metrics.cpp
@@ -7,15 +7,15 @@
 namespace gateway::lab {
 namespace {
 
-// Of one backend in discovery's list (the gateway process experiment measures it).
+// Size of one backend's entry in discovery's list, as measured by the gateway process experiment.
 constexpr double kEndpointEntryBytes = 157;
 
 }  // namespace
 
-void FleetMetricsRecorder::OnFirstRequest(double now_s, double value, bool admitted_ideally) {
+void FleetMetricsRecorder::OnFirstRequest(double now_s, double value, bool admitted_by_ideal_gateway) {
   if (!IsMeasured(now_s)) return;
   ++metrics_.first_requests;
-  if (admitted_ideally) metrics_.offered_value += value;
+  if (admitted_by_ideal_gateway) metrics_.offered_value += value;
 }
 
 void FleetMetricsRecorder::OnRequest(double now_s) {
@@ -26,11 +26,11 @@
   if (IsMeasured(now_s)) ++metrics_.delayed;
 }
 
-void FleetMetricsRecorder::OnForwarded(double now_s, double arrived_s, double units, bool within_quota,
+void FleetMetricsRecorder::OnForwarded(double now_s, double arrived_at_s, double units, bool within_quota,
                                        double penalty_value) {
   if (!IsMeasured(now_s)) return;
   ++metrics_.forwarded;
-  metrics_.added_latency_s.Add(now_s - arrived_s);
+  metrics_.added_latency_s.Add(now_s - arrived_at_s);
   metrics_.forwarded_units += units;
   if (within_quota) return;
   metrics_.over_quota_units += units;
@@ -43,9 +43,9 @@
   ++(connection_reused ? metrics_.connections_reused : metrics_.connections_opened);
 }
 
-void FleetMetricsRecorder::OnServed(double now_s, double first_sent_s, bool within_quota, double value) {
-  if (!IsMeasured(first_sent_s)) return;
-  double latency_s = now_s - first_sent_s;
+void FleetMetricsRecorder::OnServed(double now_s, double first_sent_at_s, bool within_quota, double value) {
+  if (!IsMeasured(first_sent_at_s)) return;
+  double latency_s = now_s - first_sent_at_s;
   ++metrics_.served;
   metrics_.served_latency_s.Add(latency_s);
   if (latency_s > kLatencyObjectiveS) return;
--- a/lab/fleet_options.h
+++ b/lab/fleet_options.h
@@ -1,4 +1,4 @@
-// What a simulated fleet consists of and what happens to it.
+// The options of a simulated fleet: its size, its traffic and its faults.
 #ifndef GATEWAY_LAB_FLEET_OPTIONS_H_
 #define GATEWAY_LAB_FLEET_OPTIONS_H_
 
@@ -11,34 +11,34 @@
 
 struct TenantOptions {
   int count = 150;
-  // Each tenant's traffic enters through a share of the gateways, drawn between these two.
+  // Each tenant's traffic arrives at a share of the gateways that is drawn between these bounds.
   double min_ingress_share = 0.3;
   double max_ingress_share = 1;
-  double ingress_skew = 1;         // of a tenant's traffic over its gateways; 0: even
-  double ingress_rotation_s = 12;  // after which a tenant's busiest gateways change
+  double ingress_skew = 1;         // skew of a tenant's traffic over its gateways; 0 is even
+  double ingress_rotation_s = 12;  // interval at which a tenant's busiest gateways change
 };
 
 struct PlanOptions {
   double rate_units_per_s = 0;
-  double burst_s = 0;  // a full bucket, in seconds of the rate
+  double burst_s = 0;  // burst size in seconds of the rate
 };
 
 struct QuotaOptions {
   bool enabled = true;
-  // Before they are scaled to the fleet's load (TenantModel).
+  // The plans before TenantModel scales them to the fleet's load.
   PlanOptions basic = {2.8, 4.5};
   PlanOptions pro = {19, 2.2};
 };
 
 struct TrafficOptions {
-  double requests_per_s = 140;  // of all clients, without their retries
-  double quiet_s = 0;           // of a tenth of that load, before the measured time
+  double requests_per_s = 140;  // requests of all clients, excluding retries
+  double quiet_s = 0;           // duration of a phase before the measured time, with a tenth of the load
   double measured_s = 20;
-  int request_classes = 1;    // which differ in their mean work
-  double mean_work_s = 0.18;  // of a request, on one core; scaled to `utilization`
+  int request_classes = 1;    // the classes differ in their mean work
+  double mean_work_s = 0.18;  // service time of a request on one core, before scaling to `utilization`
   double max_cost_units = 6;
-  // Share of the backends' capacity that the traffic within the quotas takes (all traffic, where quotas are
-  // off). 0: work is not scaled.
+  // Share of the backends' capacity that is used by the traffic within the quotas, or by all traffic if
+  // quotas are disabled. Work is scaled to reach it; 0 means that work is not scaled.
   double utilization = 0.55;
 };
 
@@ -50,29 +50,29 @@
 };
 
 struct DiscoveryOptions {
-  double max_lag_s = 1.5;         // until a gateway is notified of a restart: between 0 and this
-  double late_gateway_share = 0;  // gateways that are notified `late_s` later than that
-  double late_s = 0;
+  double max_lag_s = 1.5;            // a gateway is notified of a restart after a lag from 0 to this
+  double late_gateway_share = 0;     // share of the gateways that are notified later still
+  double late_additional_lag_s = 0;  // additional lag of those gateways
 };
 
-// Backends that restart under the same name and warm up.
+// The restarts of backends, which keep their names and warm up.
 struct RestartOptions {
   double backend_share = 0;
-  double first_s = 5;  // of the measured time
-  double within_s = 10;
+  double first_at_s = 5;  // earliest restart, counted from the start of the measured time
+  double period_s = 10;   // all restarts happen within this period
   int per_backend = 1;
 };
 
-// When the counter is silent.
+// A period in which the counter is silent.
 struct CounterOutageOptions {
-  double start_s = -1;  // of the measured time; below 0: never
+  double starts_at_s = -1;  // counted from the start of the measured time; negative means never
   double duration_s = 0;
 };
 
 // The load at which a warming-up backend collapses.
 struct OverloadOptions {
-  double multiple = 4;  // of its present capacity
-  double window_s = 1;  // for which it has to last
+  double multiple = 4;  // load as a multiple of the current capacity
+  double window_s = 1;  // how long the load has to last
 };
 
 struct FleetOptions {
--- a/lab/fleet_report.h
+++ b/lab/fleet_report.h
@@ -1,4 +1,4 @@
-// Tables of simulated fleets. The columns' titles are read by scripts: they are stable.
+// Reports on simulated fleets. Scripts read the column titles, so the titles must not change.
 #ifndef GATEWAY_LAB_FLEET_REPORT_H_
 #define GATEWAY_LAB_FLEET_REPORT_H_
 
@@ -10,16 +10,16 @@
 
 namespace gateway::lab {
 
-// One run with its options, as a row of a report.
+// A run and its options, which make one row of a report.
 struct FleetRun {
   FleetOptions options;
   FleetMetrics metrics;
 };
 
-// Runs that differ in their seeds.
+// Makes a report on runs that differ in their seeds.
 Report MakeFleetReport(const std::vector<FleetRun>& runs);
 
-// Runs that differ in the size of the fleet.
+// Makes a report on runs that differ in the size of the fleet.
 Report MakeFleetSizeReport(const std::vector<FleetRun>& runs);
 
 }  // namespace gateway::lab
--- a/lab/fleet_settings.cpp
+++ b/lab/fleet_settings.cpp
@@ -11,7 +11,7 @@
 constexpr double kDeduplicationWindowS = 5;
 constexpr double kBasicOverQuotaPenalty = 0.5;
 constexpr double kProOverQuotaPenalty = 0.8;
-constexpr double kUnlimitedUnits = 1e9;  // rate and burst where quotas are off
+constexpr double kUnlimitedUnits = 1e9;  // rate and burst if quotas are disabled
 
 policy::ClassSettings MakeClassSettings() {
   policy::ClassSettings settings;
--- a/lab/fleet_settings.h
+++ b/lab/fleet_settings.h
@@ -1,4 +1,4 @@
-// The settings that the gateways of a simulated fleet are given.
+// The settings of the gateways of a simulated fleet.
 #ifndef GATEWAY_LAB_FLEET_SETTINGS_H_
 #define GATEWAY_LAB_FLEET_SETTINGS_H_
 
@@ -7,13 +7,14 @@
 
 namespace gateway::lab {
 
-// Of every request class.
+// Limits of every request class.
 constexpr double kLatencyObjectiveS = 1.2;
 constexpr double kDeadlineS = 4;
 
 constexpr double kCounterTimeoutS = 0.03;
 
-// Settings for one gateway of zone 0. The plans are those of `options`, without the scaling of TenantModel.
+// Returns the settings for one gateway in zone 0. The plans are those of `options` before TenantModel scales
+// them.
 policy::Settings MakeGatewaySettings(const FleetOptions& options);
 
 }  // namespace gateway::lab
--- a/lab/fleet_simulation.cpp
+++ b/lab/fleet_simulation.cpp
@@ -15,10 +15,10 @@
 
 constexpr double kClockStartS = 1000;
 constexpr double kQuietLoadShare = 0.1;
-constexpr uint64_t kSeedFactor = 7919;  // keeps the seeds of policies apart between runs
-// As in the gateway process, a call to the counter is given up later than the settings' timeout: a late reply
-// is still of use.
-constexpr double kCounterGiveUpS = 3 * kCounterTimeoutS;
+constexpr uint64_t kSeedFactor = 7919;  // separates the seeds of the policies of different runs
+// As in the gateway process, a counter call is abandoned later than the timeout of the settings, because a
+// late reply is still useful.
+constexpr double kCounterAbandonAfterS = 3 * kCounterTimeoutS;
 
 }  // namespace
 
@@ -57,9 +57,9 @@
   for (int i = 0; i < options_.gateways; ++i) {
     SimulatedGateway& gateway = GatewayAt(i);
     settings.zone = i % options_.zones;
-    policy::Actions none;  // where endpoint updates are pushed, a policy starts without actions
+    policy::Actions no_actions;  // a policy returns no actions at its start if endpoint updates are pushed
     uint64_t seed = policy::MixBits(options_.seed * kSeedFactor + static_cast<uint64_t>(i));
-    gateway.policy = std::make_unique<policy::AdmissionPolicy>(settings, seed, kClockStartS, &none);
+    gateway.policy = std::make_unique<policy::AdmissionPolicy>(settings, seed, kClockStartS, &no_actions);
     Deliver(gateway, [&](auto& policy, double now_s, auto* actions) {
       policy.OnEndpointUpdate(now_s, policy::EndpointUpdateKind::kFull, endpoints, actions);
     });
@@ -72,8 +72,8 @@
   int restarted = static_cast<int>(std::lround(restarts.backend_share * options_.backends));
   for (int backend = 0; backend < restarted; ++backend) {
     for (int i = 0; i < restarts.per_backend; ++i) {
-      double time_s = MeasuredFromS() + restarts.first_s +
-                      restarts.within_s * (random_.Uniform() + i) / restarts.per_backend;
+      double time_s = MeasuredFromS() + restarts.first_at_s +
+                      restarts.period_s * (random_.Uniform() + i) / restarts.per_backend;
       queue_.Schedule(time_s, [this, backend] { RestartBackend(backend); });
     }
   }
@@ -81,8 +81,8 @@
 
 void FleetSimulation::ScheduleCounterOutage() {
   const CounterOutageOptions& outage = options_.counter_outage;
-  if (outage.start_s < 0) return;
-  double start_s = MeasuredFromS() + outage.start_s;
+  if (outage.starts_at_s < 0) return;
+  double start_s = MeasuredFromS() + outage.starts_at_s;
   queue_.Schedule(start_s, [this] { counter_.set_silent(true); });
   queue_.Schedule(start_s + outage.duration_s, [this] { counter_.set_silent(false); });
 }
@@ -93,19 +93,21 @@
   backends_.Restart(backend, now_s);
   const DiscoveryOptions& discovery = options_.discovery;
   for (SimulatedGateway& gateway : gateways_) {
-    gateway.connections.Drop(backend);
+    gateway.connections.RemoveIdle(backend);
     bool late = random_.Uniform() < discovery.late_gateway_share;
-    double notified_s = now_s + discovery.max_lag_s * random_.Uniform() + (late ? discovery.late_s : 0);
-    queue_.Schedule(notified_s, [this, &gateway, backend, now_s] { NotifyRestart(gateway, backend, now_s); });
+    double notified_at_s =
+        now_s + discovery.max_lag_s * random_.Uniform() + (late ? discovery.late_additional_lag_s : 0);
+    queue_.Schedule(notified_at_s,
+                    [this, &gateway, backend, now_s] { NotifyRestart(gateway, backend, now_s); });
   }
 }
 
-void FleetSimulation::NotifyRestart(SimulatedGateway& gateway, int backend, double restarted_s) {
-  gateway.known_restart_s[backend] = restarted_s;
+void FleetSimulation::NotifyRestart(SimulatedGateway& gateway, int backend, double restarted_at_s) {
+  gateway.known_restart_at_s[backend] = restarted_at_s;
   recorder_.OnEndpointsSent(1);
   Deliver(gateway, [&](auto& policy, double now_s, auto* actions) {
     policy.OnEndpointUpdate(now_s, policy::EndpointUpdateKind::kDelta,
-                            {backends_.DescribeEndpoint(backend, restarted_s)}, actions);
+                            {backends_.DescribeEndpoint(backend, restarted_at_s)}, actions);
   });
 }
 
@@ -122,8 +124,9 @@
 void FleetSimulation::SendFirstRequest() {
   double now_s = queue_.now_s();
   ClientRequest client = clients_.DrawRequest(tenants_, now_s, &random_);
-  bool admitted_ideally = tenants_.TakeFromIdealQuota(client.tenant, client.cost_units, now_s);
-  recorder_.OnFirstRequest(now_s, client.cost_units * tenants_.UnitPrice(client.tenant), admitted_ideally);
+  bool admitted_by_ideal_gateway = tenants_.TakeFromIdealQuota(client.tenant, client.cost_units, now_s);
+  recorder_.OnFirstRequest(now_s, client.cost_units * tenants_.UnitPrice(client.tenant),
+                           admitted_by_ideal_gateway);
   SendRequest(client);
 }
 
@@ -137,18 +140,18 @@
   request.request_class = client.request_class;
   request.plan = tenants_.plan(client.tenant);
   request.tenant = static_cast<uint64_t>(client.tenant) + 1;
-  request.time_left_s = client.patience_s - (now_s - client.first_sent_s);
+  request.time_left_s = client.timeout_s - (now_s - client.first_sent_at_s);
   request.cost_units = client.cost_units;
   request.ingress_gateways = tenants_.ingress_gateways(client.tenant);
 
   InFlightRequest in_flight;
   in_flight.client = client;
-  in_flight.arrived_s = now_s;
+  in_flight.arrived_at_s = now_s;
   gateway.requests[request.id] = std::move(in_flight);
   Deliver(gateway,
           [&](auto& policy, double at_s, auto* actions) { policy.OnRequest(at_s, request, actions); });
-  auto left = gateway.requests.find(request.id);
-  if (left != gateway.requests.end() && !left->second.answered && !left->second.forwarded) {
+  auto entry = gateway.requests.find(request.id);
+  if (entry != gateway.requests.end() && !entry->second.answered && !entry->second.forwarded) {
     recorder_.OnRequestDelayed(now_s);
   }
 }
@@ -170,7 +173,7 @@
   int backend = BackendModel::IndexOf(action.backend_id);
   int attempt = static_cast<int>(request.attempts.size());
   SimulatedBackend& state = backends_.at(backend);
-  if (!request.forwarded) ChargeForwarded(&request);
+  if (!request.forwarded) ChargeQuota(&request);
   request.attempts.push_back({backend, true});
 
   const NetworkOptions& network = options_.network;
@@ -180,13 +183,13 @@
   if (!reused) one_way_s += network.connect_s;
   double arrival_s = now_s + one_way_s;
   if (state.restarted()) {
-    bool notified = gateway.KnowsRestart(backend, state.restarted_s());
+    bool notified = gateway.KnowsRestart(backend, state.restarted_at_s());
     slow_start_monitor_.OnAttempt(backend, arrival_s, request.client.work_s, notified);
   }
 
-  std::optional<double> served_s = state.Serve(arrival_s, request.client.work_s);
-  CallResult result = served_s ? CallResult::kOk : CallResult::kRejected;
-  double end_s = served_s ? *served_s + network.backend_one_way_s : now_s + 2 * one_way_s;
+  std::optional<double> served_at_s = state.Serve(arrival_s, request.client.work_s);
+  CallResult result = served_at_s ? CallResult::kOk : CallResult::kRejected;
+  double end_s = served_at_s ? *served_at_s + network.backend_one_way_s : now_s + 2 * one_way_s;
   double timeout_s = std::max(action.timeout_s, options_.timer_resolution_s);
   if (end_s > now_s + timeout_s) {
     end_s = now_s + timeout_s;
@@ -197,18 +200,19 @@
   });
 }
 
-void FleetSimulation::ChargeForwarded(InFlightRequest* request) {
+void FleetSimulation::ChargeQuota(InFlightRequest* request) {
   double now_s = queue_.now_s();
   const ClientRequest& client = request->client;
   request->forwarded = true;
   request->within_quota = tenants_.TakeFromQuota(client.tenant, client.cost_units, now_s);
   double penalty_value =
       client.cost_units * tenants_.UnitPrice(client.tenant) * tenants_.OverQuotaPenalty(client.tenant);
-  recorder_.OnForwarded(now_s, request->arrived_s, client.cost_units, request->within_quota, penalty_value);
+  recorder_.OnForwarded(now_s, request->arrived_at_s, client.cost_units, request->within_quota,
+                        penalty_value);
 }
 
 void FleetSimulation::EndAttempt(SimulatedGateway& gateway, uint32_t request_id, int attempt, int backend,
-                                 CallResult result, double sent_s) {
+                                 CallResult result, double sent_at_s) {
   double now_s = queue_.now_s();
   gateway.connections.Release(backend, now_s);
   auto found = gateway.requests.find(request_id);
@@ -218,13 +222,13 @@
   if (result == CallResult::kOk && !request.answered) {
     request.answered = true;
     const ClientRequest& client = request.client;
-    recorder_.OnServed(now_s, client.first_sent_s, request.within_quota,
+    recorder_.OnServed(now_s, client.first_sent_at_s, request.within_quota,
                        client.cost_units * tenants_.UnitPrice(client.tenant));
   }
   policy::AttemptOutcome outcome;
   outcome.request_id = request_id;
   outcome.attempt = attempt;
-  outcome.duration_s = now_s - sent_s;
+  outcome.duration_s = now_s - sent_at_s;
   outcome.result = result;
   outcome.request_finished = request.answered;
   outcome.backend_id = BackendModel::IdOf(backend);
@@ -238,21 +242,21 @@
   if (request == nullptr) return;
   double now_s = queue_.now_s();
   if (recorder_.IsMeasured(now_s)) {
-    bool with_quota = !request->forwarded && tenants_.HasHalfBurst(request->client.tenant, now_s);
+    bool with_quota = !request->forwarded && tenants_.HasHalfBurstLeft(request->client.tenant, now_s);
     recorder_.OnRejected(now_s, with_quota);
   }
-  AnswerUnserved(gateway, action.request_id, request, action.retry_after_s);
+  AnswerWithError(gateway, action.request_id, request, action.retry_after_s);
 }
 
 void FleetSimulation::Perform(SimulatedGateway& gateway, const policy::FailRequest& action) {
   InFlightRequest* request = gateway.FindUnanswered(action.request_id);
   if (request == nullptr) return;
   recorder_.OnFailed(queue_.now_s());
-  AnswerUnserved(gateway, action.request_id, request, 0);
+  AnswerWithError(gateway, action.request_id, request, 0);
 }
 
-void FleetSimulation::AnswerUnserved(SimulatedGateway& gateway, uint32_t request_id, InFlightRequest* request,
-                                     double retry_after_s) {
+void FleetSimulation::AnswerWithError(SimulatedGateway& gateway, uint32_t request_id,
+                                      InFlightRequest* request, double retry_after_s) {
   request->answered = true;
   ScheduleRetry(request->client, retry_after_s);
   gateway.EraseIfFinished(request_id);
@@ -271,9 +275,9 @@
   CounterModel::Reply reply = counter_.Call(now_s + one_way_s, action.key, action.amount, action.expiry_s);
   bool rejected = reply.status == CounterModel::ReplyStatus::kRejected;
   CallResult result = rejected ? CallResult::kRejected : CallResult::kOk;
-  double end_s = reply.sent_s + one_way_s;
-  if (reply.status == CounterModel::ReplyStatus::kNone || end_s - now_s >= kCounterGiveUpS) {
-    end_s = now_s + kCounterGiveUpS;
+  double end_s = reply.sent_at_s + one_way_s;
+  if (reply.status == CounterModel::ReplyStatus::kNone || end_s - now_s >= kCounterAbandonAfterS) {
+    end_s = now_s + kCounterAbandonAfterS;
     result = CallResult::kTimeout;
   }
   recorder_.OnCounterCall(now_s, end_s - now_s, rejected);
--- a/lab/fleet_simulation.h
+++ b/lab/fleet_simulation.h
@@ -1,5 +1,5 @@
-// A whole fleet in simulated time: real decision modules between simulated clients, backends, counter and
-// discovery.
+// Simulates a fleet of gateways: real decision modules with simulated clients, backends, counter and
+// discovery, in simulated time.
 #ifndef GATEWAY_LAB_FLEET_SIMULATION_H_
 #define GATEWAY_LAB_FLEET_SIMULATION_H_
 
@@ -22,20 +22,21 @@
 
 namespace gateway::lab {
 
-// One run. The same options give the same run, but for processor time. Not thread-safe; several may run on
-// threads of their own.
+// Simulates one run. The same options give the same run except for processor time. Not thread-safe, but
+// several simulations may run on separate threads.
 class FleetSimulation {
  public:
   explicit FleetSimulation(const FleetOptions& options);
   FleetSimulation(const FleetSimulation&) = delete;
   FleetSimulation& operator=(const FleetSimulation&) = delete;
 
-  // Runs through the quiet and the measured time, and until the last request has ended. Called once.
+  // Runs the quiet phase and the measured time, and continues until the last request has ended. Must be
+  // called only once.
   FleetMetrics Run();
 
  private:
-  // Set-up. The order of draws from random_ decides the run: restarts are drawn after the tenants and before
-  // the first request.
+  // Set-up. The order of draws from random_ determines the run: restarts are drawn after the tenants and
+  // before the first request.
   void StartGateways();
   void ScheduleRestarts();
   void ScheduleCounterOutage();
@@ -44,19 +45,19 @@
   double EndS() const;
   SimulatedGateway& GatewayAt(int index) { return gateways_[static_cast<size_t>(index)]; }
 
-  // Discovery: a backend restarts, and each gateway is notified of it after a lag.
+  // Discovery: restarts a backend and notifies each gateway after a lag.
   void RestartBackend(int backend);
-  void NotifyRestart(SimulatedGateway& gateway, int backend, double restarted_s);
+  void NotifyRestart(SimulatedGateway& gateway, int backend, double restarted_at_s);
 
-  // Clients: first requests as a Poisson stream, and retries.
+  // Clients: first requests form a Poisson process, and rejected or failed requests may be retried.
   void ScheduleNextRequest();
   void SendFirstRequest();
-  // The request arrives at one of its tenant's gateways.
+  // Passes the request to one of its tenant's gateways.
   void SendRequest(const ClientRequest& client);
   void ScheduleRetry(const ClientRequest& client, double retry_after_s);
 
-  // Passes an event to a gateway's policy, as `event(policy, now_s, actions)`, and carries out what it
-  // returns.
+  // Passes an event to a gateway's policy by calling `event(policy, now_s, actions)`, and performs the
+  // actions that the policy returns.
   template <typename Event>
   void Deliver(SimulatedGateway& gateway, Event event) {
     policy::Actions actions;
@@ -73,19 +74,19 @@
   void Perform(SimulatedGateway& gateway, const policy::FailRequest& action);
   void Perform(SimulatedGateway& gateway, const policy::StartTimer& action);
   void Perform(SimulatedGateway& gateway, const policy::CallCounter& action);
-  // A backend that has begun to serve an attempt goes on with it.
+  // Cancelling has no effect, because a simulated backend serves an attempt to its end.
   void Perform(SimulatedGateway&, const policy::CancelAttempt&) {}
   void Perform(SimulatedGateway&, const policy::LogEvent&) {}
-  // Endpoint updates are pushed.
+  // Polls are not needed, because endpoint updates are pushed.
   void Perform(SimulatedGateway&, const policy::PollDiscovery&) {}
 
-  // The first attempt of a request: it is charged to its tenant's quota.
-  void ChargeForwarded(InFlightRequest* request);
-  // The client gets a rejection or a failure, and may retry.
-  void AnswerUnserved(SimulatedGateway& gateway, uint32_t request_id, InFlightRequest* request,
-                      double retry_after_s);
+  // Charges the request to its tenant's quota when its first attempt is made.
+  void ChargeQuota(InFlightRequest* request);
+  // Answers the client with a rejection or a failure, after which the client may retry.
+  void AnswerWithError(SimulatedGateway& gateway, uint32_t request_id, InFlightRequest* request,
+                       double retry_after_s);
   void EndAttempt(SimulatedGateway& gateway, uint32_t request_id, int attempt, int backend,
-                  policy::CallResult result, double sent_s);
+                  policy::CallResult result, double sent_at_s);
 
   const FleetOptions options_;
   Random random_;
@@ -99,7 +100,7 @@
   FleetMetricsRecorder recorder_;
 };
 
-// Makes one run. Thread-safe.
+// Simulates one run. Thread-safe.
 FleetMetrics SimulateFleet(const FleetOptions& options);
 
 }  // namespace gateway::lab
--- a/lab/gateway_config_builder.cpp
+++ b/lab/gateway_config_builder.cpp
@@ -7,7 +7,7 @@
 
 using nlohmann::json;
 
-// What the file requires, but the decision module does not read.
+// Values that the configuration file requires and the settings of the decision module do not contain.
 constexpr int kGatewayIndex = 0;
 constexpr double kCrossZonePrice = 0.012;
 constexpr double kConnectionIdleTimeoutS = 15;
--- a/lab/gateway_config_builder.h
+++ b/lab/gateway_config_builder.h
@@ -1,5 +1,5 @@
-// The configuration file of a real gateway process, made from typed settings. The names of the file's keys
-// are the protocol's.
+// Builds the configuration file of a real gateway process from typed settings. The protocol defines the keys
+// of the file.
 #ifndef GATEWAY_LAB_GATEWAY_CONFIG_BUILDER_H_
 #define GATEWAY_LAB_GATEWAY_CONFIG_BUILDER_H_
 
@@ -13,11 +13,11 @@
 struct GatewayProcessConfig {
   int listen_port = 0;          // on loopback
   int discovery_port = 0;       // on loopback
-  std::string known_endpoints;  // the endpoint list known at the start, as discovery sends it (JSON)
-  policy::Settings settings;    // with idempotent request classes only
+  std::string known_endpoints;  // initial endpoint list as JSON, in the format of discovery
+  policy::Settings settings;    // all request classes must be idempotent
 };
 
-// The content of the file. Throws nlohmann::json::parse_error where the known list is not JSON.
+// Returns the content of the file. Throws nlohmann::json::parse_error if `known_endpoints` is not valid JSON.
 nlohmann::json MakeGatewayConfig(const GatewayProcessConfig& config);
 
 }  // namespace gateway::lab
--- a/lab/gateway_process_experiment.cpp
+++ b/lab/gateway_process_experiment.cpp
@@ -29,14 +29,14 @@
   return std::chrono::duration<double>(SteadyClock::now() - begin).count();
 }
 
-// A port of loopback that is free now.
+// Returns a port on loopback that is currently free.
 int FindFreePort() {
   boost::asio::io_context io;
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   return acceptor.local_endpoint().port();
 }
 
-// Those of the simulated fleet's gateways, with one plan and without a counter.
+// Returns the settings of a simulated fleet's gateway, with a single plan and without a counter.
 policy::Settings MakeProcessSettings() {
   FleetOptions fleet;
   fleet.gateways = kGatewayCount;
@@ -50,7 +50,7 @@
   return settings;
 }
 
-// Whether the gateway answers GET /-/ready with 200.
+// Returns whether the gateway answers GET /-/ready with status 200.
 bool IsReady(int port) {
   try {
     boost::asio::io_context io;
@@ -70,13 +70,13 @@
 void WaitUntilReady(const std::string& program, int port, SteadyClock::time_point begin,
                     ChildProcess* gateway) {
   while (!IsReady(port)) {
-    if (!gateway->IsRunning()) throw GatewayProcessError("cannot start " + program);
-    if (SecondsSince(begin) > kReadyTimeoutS) throw GatewayProcessError(program + " is not ready in 30 s");
+    if (!gateway->IsRunning()) throw GatewayProcessError("gateway failed to start: " + program);
+    if (SecondsSince(begin) > kReadyTimeoutS) throw GatewayProcessError(program + " was not ready in 30 s");
     std::this_thread::sleep_for(kReadyPollInterval);
   }
 }
 
-// Columns of a run's report.
+// Returns the columns of the report.
 const std::vector<Column<GatewayProcessRun>>& Columns() {
   using Run = GatewayProcessRun;
   static const std::vector<Column<Run>> kColumns = {
@@ -119,7 +119,7 @@
   metrics.discovery_bytes_per_s = static_cast<double>(discovery.bytes_sent() - bytes) / measured_s;
   metrics.discovery_calls_per_s = static_cast<double>(discovery.calls() - calls) / measured_s;
   metrics.max_resident_mb = gateway.MaxResidentMb();
-  if (!gateway.IsRunning()) throw GatewayProcessError(options.program + " ended by itself");
+  if (!gateway.IsRunning()) throw GatewayProcessError(options.program + " exited during the measurement");
   return metrics;
 }
 
--- a/lab/histogram.h
+++ b/lab/histogram.h
@@ -1,4 +1,4 @@
-// A histogram of bounded size.
+// A histogram of fixed size.
 #ifndef GATEWAY_LAB_HISTOGRAM_H_
 #define GATEWAY_LAB_HISTOGRAM_H_
 
@@ -9,10 +9,11 @@
 
 namespace gateway::lab {
 
-// Bins grow by a fixed factor, so every percentile is within 2.2% (one bin). Not thread-safe.
+// The width of the bins grows by a fixed factor, so every percentile is accurate to one bin, which is 2.2%.
+// Not thread-safe.
 class Histogram {
  public:
-  // Values below 1e-6 are counted as zero, and values of about 4e3 or more in the last bin.
+  // Adds a value. Values below 1e-6 count as zero, and values of about 4e3 or more go into the last bin.
   void Add(double value) {
     ++count_;
     sum_ += value;
@@ -21,28 +22,29 @@
 
   uint64_t count() const { return count_; }
 
-  // 0 where there are no values.
+  // Returns the mean of all values, or 0 if there are none.
   double Mean() const { return count_ == 0 ? 0 : sum_ / static_cast<double>(count_); }
 
-  // The upper edge of the bin at which `share` (0 to 1) of all values is reached; 0 where there are no
-  // values.
+  // Returns the upper edge of the bin at which `share` (0 to 1) of all values is reached, or 0 if there are
+  // no values.
   double Percentile(double share) const {
-    auto wanted = static_cast<uint64_t>(std::ceil(share * static_cast<double>(count_)));
-    uint64_t seen = 0;
+    auto target_count = static_cast<uint64_t>(std::ceil(share * static_cast<double>(count_)));
+    uint64_t cumulative_count = 0;
     for (size_t i = 0; i < kBins; ++i) {
-      seen += bins_[i];
-      if (seen >= wanted && seen > 0) {
+      cumulative_count += bins_[i];
+      if (cumulative_count >= target_count && cumulative_count > 0) {
         return i == 0 ? 0 : kSmallestValue * std::exp2(static_cast<double>(i) / kBinsPerOctave);
       }
     }
     return 0;
   }
 
-  // Share of the values up to `value`, to the width of a bin; 1 where there are no values.
+  // Returns the share of the values up to `value`, counting the whole bin that contains `value`, or 1 if
+  // there are no values.
   double ShareUpTo(double value) const {
-    uint64_t seen = 0;
-    for (size_t i = 0; i <= BinIndex(value); ++i) seen += bins_[i];
-    return count_ == 0 ? 1 : static_cast<double>(seen) / static_cast<double>(count_);
+    uint64_t cumulative_count = 0;
+    for (size_t i = 0; i <= BinIndex(value); ++i) cumulative_count += bins_[i];
+    return count_ == 0 ? 1 : static_cast<double>(cumulative_count) / static_cast<double>(count_);
   }
 
  private:
--- a/lab/line_fit.h
+++ b/lab/line_fit.h
@@ -1,4 +1,4 @@
-// A straight line through measured points.
+// Fits a straight line to measured points.
 #ifndef GATEWAY_LAB_LINE_FIT_H_
 #define GATEWAY_LAB_LINE_FIT_H_
 
@@ -10,11 +10,12 @@
 struct Line {
   double intercept = 0;
   double slope = 0;
-  double max_relative_error = 0;  // of the points it was fitted to, as a share of y
+  double max_relative_error = 0;  // largest error at the fitted points, as a share of y
 };
 
-// Least squares of the relative errors. Points whose y is 0 or less carry no weight; a line of zeros where
-// there are no others. Of two lists of different lengths the longer one's rest is ignored.
+// Minimizes the sum of the squared relative errors. Points with y <= 0 have no weight; if there are no other
+// points, the result is a line of zeros. If the lists differ in length, the rest of the longer one is
+// ignored.
 Line FitLine(const std::vector<double>& x, const std::vector<double>& y);
 
 }  // namespace gateway::lab
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,5 +1,6 @@
-// gateway-lab: what a fleet of gateways does, in simulated time and on loopback. One subcommand for each
-// experiment. Option names and the fields of the JSON reports are read by scripts: they are stable.
+// gateway-lab runs experiments with a fleet of gateways, in simulated time and on loopback. Each experiment
+// has a subcommand. Scripts use the option names and the fields of the JSON reports, so these must not
+// change.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <atomic>
@@ -25,8 +26,9 @@
 namespace gateway::lab {
 namespace {
 
-// Prints the table, and writes the JSON where a file is named. False where that can't be written.
-bool ShowReport(const Report& report, const std::string& json_path) {
+// Prints the report as a table and writes it as JSON if `json_path` is not empty. Returns false if the file
+// cannot be written.
+bool PrintReport(const Report& report, const std::string& json_path) {
   std::fputs(report.ToMarkdown().c_str(), stdout);
   if (json_path.empty()) return true;
   std::ofstream file(json_path);
@@ -54,14 +56,15 @@
 }
 
 void AddFleetTrafficOptions(CLI::App* app, FleetOptions* options) {
-  app->add_option("--rate", options->traffic.requests_per_s, "requests a second of all clients, less retries")
+  app->add_option("--rate", options->traffic.requests_per_s,
+                  "requests per second of all clients, excluding retries")
       ->check(CLI::PositiveNumber)
       ->capture_default_str();
   app->add_option("--seconds", options->traffic.measured_s)
       ->check(CLI::Range(0.1, 600.0))
       ->capture_default_str();
   app->add_option("--spread-low", options->tenants.min_ingress_share,
-                  "least share of the gateways a tenant comes through")
+                  "lowest share of the gateways that receive requests of a tenant")
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
   app->add_option("--spread-high", options->tenants.max_ingress_share)
@@ -70,26 +73,27 @@
 }
 
 void AddFleetFaultOptions(CLI::App* app, FleetOptions* options) {
-  app->add_option("--counter-rate", options->counter.calls_per_s, "calls a second that the counter serves")
+  app->add_option("--counter-rate", options->counter.calls_per_s,
+                  "calls per second that the counter can serve")
       ->check(CLI::PositiveNumber)
       ->capture_default_str();
   app->add_option("--replaced", options->restarts.backend_share, "share of the backends that restart")
       ->check(CLI::Range(0.0, 1.0))
       ->capture_default_str();
-  app->add_option("--silent-at", options->counter_outage.start_s,
-                  "when the counter falls silent; below 0: never")
+  app->add_option("--silent-at", options->counter_outage.starts_at_s,
+                  "when the counter becomes silent, in seconds of the measured time; negative for never")
       ->capture_default_str();
   app->add_option("--silent-for", options->counter_outage.duration_s)->capture_default_str();
 }
 
 CLI::App* AddFleetCommand(CLI::App* app, FleetCommand* command) {
-  CLI::App* fleet =
-      app->add_subcommand("fleet", "real decision modules in simulated time before simulated backends");
+  CLI::App* fleet = app->add_subcommand(
+      "fleet", "simulate real decision modules with simulated backends in simulated time");
   AddFleetSizeOptions(fleet, &command->options);
   AddFleetTrafficOptions(fleet, &command->options);
   AddFleetFaultOptions(fleet, &command->options);
   fleet->add_option("--seed", command->options.seed)->capture_default_str();
-  fleet->add_option("--seeds", command->seeds, "so many seeds from the first")
+  fleet->add_option("--seeds", command->seeds, "number of consecutive seeds, beginning with --seed")
       ->check(CLI::Range(1, 1000))
       ->capture_default_str();
   return fleet;
@@ -102,7 +106,7 @@
     runs.push_back({options, SimulateFleet(options)});
     ++options.seed;
   }
-  return ExitCode(ShowReport(MakeFleetReport(runs), json_path));
+  return ExitCode(PrintReport(MakeFleetReport(runs), json_path));
 }
 
 struct SlowStartCommand {
@@ -112,43 +116,44 @@
 };
 
 CLI::App* AddSlowStartCommand(CLI::App* app, SlowStartCommand* command) {
-  CLI::App* cold =
-      app->add_subcommand("cold", "work sent to warming-up backends by all gateways, over its limit");
-  cold->add_option("--seeds", command->seeds, "of each scenario")
+  CLI::App* slow_start = app->add_subcommand(
+      "cold", "compare the work that all gateways send to warming-up backends with its limit");
+  slow_start->add_option("--seeds", command->seeds, "number of seeds of each scenario")
       ->check(CLI::Range(1, 10000))
       ->capture_default_str();
-  cold->add_option("--threads", command->threads)->check(CLI::Range(1, 64))->capture_default_str();
-  cold->add_option("--only", command->name_part, "scenarios whose names contain this text");
-  return cold;
+  slow_start->add_option("--threads", command->threads)->check(CLI::Range(1, 64))->capture_default_str();
+  slow_start->add_option("--only", command->name_part, "run only scenarios whose names contain this text");
+  return slow_start;
 }
 
-// Fails where a limit was violated.
+// Returns a failure if a limit was violated.
 int RunSlowStartCommand(const SlowStartCommand& command, const std::string& json_path) {
   std::vector<SlowStartScenario> scenarios = SlowStartScenarios();
   std::erase_if(scenarios, [&](const SlowStartScenario& scenario) {
     return scenario.name.find(command.name_part) == std::string::npos;
   });
   std::vector<SlowStartResult> results = RunSlowStartScenarios(scenarios, command.seeds, command.threads);
-  bool shown = ShowReport(MakeSlowStartReport(results), json_path);
+  bool printed = PrintReport(MakeSlowStartReport(results), json_path);
   bool violated = std::any_of(results.begin(), results.end(),
                               [](const SlowStartResult& result) { return result.violations > 0; });
-  return ExitCode(shown && !violated);
+  return ExitCode(printed && !violated);
 }
 
 CLI::App* AddGatewayProcessCommand(CLI::App* app, GatewayProcessOptions* options) {
-  CLI::App* control = app->add_subcommand("control", "one real gateway on loopback before a discovery stub");
-  control->add_option("--gateway", options->program, "the program")->capture_default_str();
-  control->add_option("--backends", options->backends)->check(CLI::Range(1, 10000))->capture_default_str();
-  control->add_option("--changes", options->changes_per_s, "of the list, a second")
+  CLI::App* process =
+      app->add_subcommand("control", "measure one real gateway on loopback with a discovery stub");
+  process->add_option("--gateway", options->program, "the program")->capture_default_str();
+  process->add_option("--backends", options->backends)->check(CLI::Range(1, 10000))->capture_default_str();
+  process->add_option("--changes", options->changes_per_s, "changes of the endpoint list per second")
       ->check(CLI::Range(0.0, 1000.0))
       ->capture_default_str();
-  control->add_option("--seconds", options->measured_s)->check(CLI::Range(0.1, 600.0))->capture_default_str();
-  return control;
+  process->add_option("--seconds", options->measured_s)->check(CLI::Range(0.1, 600.0))->capture_default_str();
+  return process;
 }
 
 int RunGatewayProcessCommand(const GatewayProcessOptions& options, const std::string& json_path) {
   Report report = MakeGatewayProcessReport({{options, MeasureGatewayProcess(options)}});
-  return ExitCode(ShowReport(report, json_path));
+  return ExitCode(PrintReport(report, json_path));
 }
 
 struct CapacityCommand {
@@ -157,48 +162,50 @@
 };
 
 CLI::App* AddCapacityCommand(CLI::App* app, CapacityCommand* command) {
-  CLI::App* slopes = app->add_subcommand("slopes", "the measurements behind docs/CAPACITY.md, as its tables");
-  slopes->add_option("--gateway", command->program, "the program")->capture_default_str();
-  slopes->add_flag("--brief", command->brief, "fewer and shorter runs");
-  return slopes;
+  CLI::App* capacity =
+      app->add_subcommand("slopes", "make the measurements for docs/CAPACITY.md and print its tables");
+  capacity->add_option("--gateway", command->program, "the program")->capture_default_str();
+  capacity->add_flag("--brief", command->brief, "fewer and shorter runs");
+  return capacity;
 }
 
-// Each table has a JSON file of its own, numbered from 1.
+// Writes each table to its own JSON file, numbered from 1.
 int RunCapacityCommand(const CapacityCommand& command, const std::string& json_path) {
-  bool shown = true;
+  bool printed = true;
   int number = 0;
   for (const Report& report : RunCapacityExperiment(command.program, command.brief)) {
     ++number;
     std::string path = json_path.empty() ? "" : json_path + "." + std::to_string(number);
-    shown = ShowReport(report, path) && shown;
+    printed = PrintReport(report, path) && printed;
     std::fputs("\n", stdout);
   }
-  return ExitCode(shown);
+  return ExitCode(printed);
 }
 
 struct SoakCommand {
   soak::SoakOptions options;
-  std::string seeds = "1";   // a number, or the first and the last with a hyphen between
-  int described_breaks = 5;  // of a seed, at most
+  std::string seeds = "1";           // a number, or the first and the last seed separated by a hyphen
+  int max_described_violations = 5;  // maximum number of violations described per seed
 };
 
 CLI::App* AddSoakCommand(CLI::App* app, SoakCommand* command) {
   CLI::App* soak = app->add_subcommand(
-      "soak", "real gateways on loopback, failures at seeded moments, every rule checked for every request");
+      "soak", "run real gateways on loopback with seeded failures and check every rule for every request");
   soak->add_option("--gateway", command->options.program, "the program")->capture_default_str();
-  soak->add_option("--seeds", command->seeds, "a number, or a range as 1-50")->capture_default_str();
-  soak->add_option("--seconds", command->options.duration_s, "of each seed")
+  soak->add_option("--seeds", command->seeds, "a number, or a range such as 1-50")->capture_default_str();
+  soak->add_option("--seconds", command->options.duration_s, "duration of each seed")
       ->check(CLI::Range(6.0, 3600.0))
       ->capture_default_str();
-  soak->add_option("--jobs", command->options.jobs, "seeds that are played at the same time")
+  soak->add_option("--jobs", command->options.jobs, "number of seeds that run at the same time")
       ->check(CLI::Range(1, 64))
       ->capture_default_str();
-  soak->add_option("--logs", command->options.log_directory, "keep the gateways' logs in this directory")
+  soak->add_option("--logs", command->options.log_directory,
+                   "keep the logs of the gateways in this directory")
       ->check(CLI::ExistingDirectory);
   return soak;
 }
 
-// False where it is neither a number nor a range.
+// Returns false if `text` is neither a number nor a valid range.
 bool ParseSeeds(const std::string& text, soak::SoakOptions* options) {
   char* end = nullptr;
   options->first_seed = std::strtoull(text.c_str(), &end, 10);
@@ -214,36 +221,38 @@
 
 std::atomic<bool> soak_interrupted{false};
 
-// Fails where a rule was broken. Ctrl-C ends it after the seeds that are being played, with their report.
+// Returns a failure if a rule was violated. Ctrl-C stops the soak after the seeds that are running and still
+// prints the report.
 int RunSoakCommand(SoakCommand command, const std::string& json_path) {
   if (!ParseSeeds(command.seeds, &command.options)) {
-    std::fprintf(stderr, "gateway-lab: --seeds takes a number or a range as 1-50, not \"%s\"\n",
+    std::fprintf(stderr, "gateway-lab: --seeds takes a number or a range such as 1-50, not \"%s\"\n",
                  command.seeds.c_str());
     return 1;
   }
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGINT, [](int) { soak_interrupted = true; });
   std::vector<soak::SoakResult> results;
-  size_t breaks = 0;
+  size_t violations = 0;
   soak::RunSoaks(
       command.options, [] { return soak_interrupted.load(); },
       [&](const soak::SoakResult& result) {
         std::printf("%s\n", soak::Summarize(result).c_str());
-        size_t described = std::min(result.violations.size(), static_cast<size_t>(command.described_breaks));
+        size_t described =
+            std::min(result.violations.size(), static_cast<size_t>(command.max_described_violations));
         for (size_t i = 0; i < described; ++i) {
           std::fputs(soak::DescribeViolation(command.options, result, result.violations[i]).c_str(), stdout);
         }
         std::fflush(stdout);
-        breaks += result.violations.size();
+        violations += result.violations.size();
         results.push_back(result);
       });
-  std::printf("%zu of %d seeds played, %zu breaks\n", results.size(), command.options.seeds, breaks);
+  std::printf("%zu of %d seeds played, %zu breaks\n", results.size(), command.options.seeds, violations);
   if (!json_path.empty()) std::ofstream(json_path) << soak::ToJson(results);
-  return ExitCode(breaks == 0);
+  return ExitCode(violations == 0);
 }
 
 int Main(int argc, char** argv) {
-  CLI::App app{"gateway-lab: what a fleet of gateways does, in simulated time and on loopback"};
+  CLI::App app{"gateway-lab: experiments with a fleet of gateways, in simulated time and on loopback"};
   app.require_subcommand(1);
   std::string json_path;
   app.add_option("--json", json_path, "also write the report to this file, as JSON");
--- a/lab/processor_clock.h
+++ b/lab/processor_clock.h
@@ -1,4 +1,4 @@
-// Processor time, for measuring what a piece of code costs.
+// Measures the processor time of a piece of code.
 #ifndef GATEWAY_LAB_PROCESSOR_CLOCK_H_
 #define GATEWAY_LAB_PROCESSOR_CLOCK_H_
 
@@ -6,7 +6,7 @@
 
 namespace gateway::lab {
 
-// Processor time used by the calling thread, in seconds. Other work on the machine does not add to it.
+// Returns the processor time of the calling thread in seconds. It does not include other work on the machine.
 inline double ThreadProcessorSeconds() {
   timespec used{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
--- a/lab/report.h
+++ b/lab/report.h
@@ -1,4 +1,4 @@
-// Tables for people and JSON for programs, from the same rows.
+// Formats the results of experiments as Markdown tables and as JSON.
 #ifndef GATEWAY_LAB_REPORT_H_
 #define GATEWAY_LAB_REPORT_H_
 
@@ -8,17 +8,18 @@
 
 namespace gateway::lab {
 
+// A table of text cells with a title and named columns.
 class Report {
  public:
   Report(std::string title, std::vector<std::string> columns)
       : title_(std::move(title)), columns_(std::move(columns)) {}
 
-  // One text for each column.
+  // Adds a row with one cell for each column.
   void AddRow(std::vector<std::string> cells) { rows_.push_back(std::move(cells)); }
 
-  // A heading and a Markdown table.
+  // Returns a heading and a Markdown table.
   std::string ToMarkdown() const;
-  // {"title": ..., "rows": [{column: cell}]}
+  // Returns {"title": ..., "rows": [{column: cell, ...}, ...]}.
   std::string ToJson() const;
 
  private:
@@ -27,14 +28,14 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-// One column of a report whose rows are all of one type.
+// A column of a report, with the function that formats its cell for a row.
 template <typename Row>
 struct Column {
   const char* title;
   std::string (*format)(const Row& row);
 };
 
-// The titles of `columns`, in their order.
+// Returns the titles of `columns` in order.
 template <typename Row>
 std::vector<std::string> ColumnTitles(const std::vector<Column<Row>>& columns) {
   std::vector<std::string> titles;
@@ -43,7 +44,7 @@
   return titles;
 }
 
-// The cells of one row, in the order of `columns`.
+// Returns the cells of one row in the order of `columns`.
 template <typename Row>
 std::vector<std::string> FormatRow(const std::vector<Column<Row>>& columns, const Row& row) {
   std::vector<std::string> cells;
@@ -52,7 +53,7 @@
   return cells;
 }
 
-// A report with one row for each of `rows`.
+// Returns a report with one row for each element of `rows`.
 template <typename Row>
 Report MakeReport(const std::string& title, const std::vector<Column<Row>>& columns,
                   const std::vector<Row>& rows) {
@@ -61,10 +62,11 @@
   return report;
 }
 
-// With `digits` digits after the decimal point.
+// Formats `value` with `digits` digits after the decimal point.
 std::string FormatDecimal(double value, int digits = 2);
 
-// `part` of `total` in per cent, with one digit and the sign; 0.0% where `total` is not above 0.
+// Formats `part` as a percentage of `total` with one digit after the decimal point and a percent sign.
+// Returns 0.0% unless `total` is positive.
 std::string FormatPercent(double part, double total);
 
 }  // namespace gateway::lab
--- a/lab/simulated_gateway.cpp
+++ b/lab/simulated_gateway.cpp
@@ -4,7 +4,7 @@
 
 namespace gateway::lab {
 
-bool InFlightRequest::Finished() const {
+bool InFlightRequest::IsFinished() const {
   return answered && std::none_of(attempts.begin(), attempts.end(),
                                   [](const SimulatedAttempt& attempt) { return attempt.in_flight; });
 }
@@ -22,9 +22,9 @@
   return true;
 }
 
-bool SimulatedGateway::KnowsRestart(int backend, double restarted_s) const {
-  auto known = known_restart_s.find(backend);
-  return known != known_restart_s.end() && known->second == restarted_s;
+bool SimulatedGateway::KnowsRestart(int backend, double restarted_at_s) const {
+  auto known = known_restart_at_s.find(backend);
+  return known != known_restart_at_s.end() && known->second == restarted_at_s;
 }
 
 InFlightRequest* SimulatedGateway::FindUnanswered(uint32_t request_id) {
@@ -34,7 +34,7 @@
 
 void SimulatedGateway::EraseIfFinished(uint32_t request_id) {
   auto request = requests.find(request_id);
-  if (request != requests.end() && request->second.Finished()) requests.erase(request);
+  if (request != requests.end() && request->second.IsFinished()) requests.erase(request);
 }
 
 }  // namespace gateway::lab
--- a/lab/simulated_gateway.h
+++ b/lab/simulated_gateway.h
@@ -1,4 +1,5 @@
-// One gateway of a simulated fleet: a real decision module and what a gateway process keeps around it.
+// Simulates one gateway of a fleet: a real decision module, and the state that a gateway process keeps for
+// it.
 #ifndef GATEWAY_LAB_SIMULATED_GATEWAY_H_
 #define GATEWAY_LAB_SIMULATED_GATEWAY_H_
 
@@ -21,43 +22,46 @@
 // A request from its arrival until it is answered and all its attempts have ended.
 struct InFlightRequest {
   ClientRequest client;
-  double arrived_s = 0;
-  bool forwarded = false;     // an attempt was made
-  bool answered = false;      // the client has its final answer
-  bool within_quota = false;  // of its tenant, when it was forwarded
+  double arrived_at_s = 0;
+  bool forwarded = false;     // at least one attempt was made
+  bool answered = false;      // the client has received the final response
+  bool within_quota = false;  // whether its tenant's quota covered it when it was forwarded
   std::vector<SimulatedAttempt> attempts;
 
-  bool Finished() const;
+  bool IsFinished() const;
 };
 
-// The connections of one gateway to all backends.
+// Tracks the idle connections of one gateway to all backends.
 class SimulatedConnectionPool {
  public:
-  // Takes a connection for an attempt: the idle one that was used last, or a new one. Closes those that were
-  // idle for longer than `idle_timeout_s`. Returns whether the connection was reused.
+  // Takes the most recently used idle connection for an attempt, or a new one if none is idle. Closes
+  // connections that were idle for longer than `idle_timeout_s` first. Returns whether a connection was
+  // reused.
   bool Acquire(int backend, SimulatedBackend* state, double now_s, double idle_timeout_s);
-  // The attempt has ended.
+  // Makes the connection idle after its attempt has ended.
   void Release(int backend, double now_s) { idle_since_s_[backend].push_back(now_s); }
-  // The backend restarted: its idle connections are gone.
-  void Drop(int backend) { idle_since_s_.erase(backend); }
+  // Removes the idle connections of a backend that restarted.
+  void RemoveIdle(int backend) { idle_since_s_.erase(backend); }
 
  private:
-  std::unordered_map<int, std::vector<double>> idle_since_s_;  // by backend, the last used at the end
+  std::unordered_map<int, std::vector<double>> idle_since_s_;  // by backend, the most recently used last
 };
 
+// The state of one simulated gateway.
 struct SimulatedGateway {
   std::unique_ptr<policy::AdmissionPolicy> policy;
   std::unordered_map<uint32_t, InFlightRequest> requests;  // by request id
   uint32_t last_request_id = 0;
   SimulatedConnectionPool connections;
-  std::unordered_map<int, double> known_restart_s;  // by backend, the last restart it was notified of
+  // Time of the last restart of each backend that the gateway was notified of.
+  std::unordered_map<int, double> known_restart_at_s;
 
-  // Whether the gateway was notified of the backend's last restart.
-  bool KnowsRestart(int backend, double restarted_s) const;
-  // Null where the request is not in flight, or its client has the final answer. Valid until the request is
-  // erased.
+  // Returns whether the gateway was notified of the backend's restart at `restarted_at_s`.
+  bool KnowsRestart(int backend, double restarted_at_s) const;
+  // Returns null if the request is not in flight or its client has received the final response. The pointer
+  // is valid until the request is erased.
   InFlightRequest* FindUnanswered(uint32_t request_id);
-  // Forgets the request once nothing of it is left to come.
+  // Erases the request if it is answered and all its attempts have ended.
   void EraseIfFinished(uint32_t request_id);
 };
 
--- a/lab/slow_start_experiment.cpp
+++ b/lab/slow_start_experiment.cpp
@@ -15,7 +15,7 @@
 
 FleetOptions EvenTraffic(int gateways, int cores) {
   FleetOptions options;
-  options.quotas.enabled = false;  // so that only the rules for backends hold work back
+  options.quotas.enabled = false;  // only the rules for backends can delay or reject requests
   options.gateways = gateways;
   options.backends = 10;
   options.backend.cores = cores;
@@ -24,14 +24,14 @@
   options.tenants.ingress_skew = 0;
   options.traffic.utilization = kUtilization;
   options.traffic.mean_work_s = 0.18;
-  // The load at which work needs no scaling to come to that utilization.
+  // At this load, work needs no scaling to reach the utilization.
   options.traffic.requests_per_s =
       kUtilization * options.backends * options.backend.cores / options.traffic.mean_work_s;
   options.traffic.measured_s = 12;
   options.traffic.max_cost_units = 1;
   options.restarts.backend_share = 0.2;
-  options.restarts.first_s = 2;
-  options.restarts.within_s = 1;
+  options.restarts.first_at_s = 2;
+  options.restarts.period_s = 1;
   return options;
 }
 
@@ -49,20 +49,20 @@
   return options;
 }
 
-// Restarts right after the quiet time, with the backends fully used.
+// The backends restart right after the quiet phase, when their utilization rises to 100%.
 FleetOptions BurstAfterQuiet(FleetOptions options) {
   options.traffic.quiet_s = 8;
   options.traffic.utilization = 1;
   options.traffic.requests_per_s = options.traffic.requests_per_s / kUtilization;
-  options.restarts.first_s = 0.1;
+  options.restarts.first_at_s = 0.1;
   return options;
 }
 
 FleetOptions LateNotifications(FleetOptions options) {
   options.discovery.late_gateway_share = 0.3;
-  options.discovery.late_s = 3;
+  options.discovery.late_additional_lag_s = 3;
   options.restarts.per_backend = 3;
-  options.restarts.within_s = 9;
+  options.restarts.period_s = 9;
   return options;
 }
 
@@ -95,7 +95,7 @@
       const FleetOptions uneven = UnevenTraffic(classes);
       const FleetOptions burst = BurstAfterQuiet(uneven);
       const FleetOptions late = LateNotifications(burst);
-      // Scripts select scenarios by these names: they are stable.
+      // Scripts select scenarios by these names, so the names must not change.
       scenarios.push_back(MakeScenario("even", even));
       scenarios.push_back(MakeScenario("4 classes, 1 to 6 units", classes));
       scenarios.push_back(MakeScenario("the same, uneven", uneven));
@@ -113,7 +113,7 @@
   const size_t runs = scenarios.size() * static_cast<size_t>(seeds);
   std::atomic<size_t> next_run{0};
   std::mutex results_mutex;
-  auto work = [&] {
+  auto run_worker = [&] {
     for (size_t run = next_run++; run < runs; run = next_run++) {
       size_t scenario = run % scenarios.size();
       FleetOptions options = scenarios[scenario].options;
@@ -125,14 +125,14 @@
   };
   std::vector<std::thread> workers;
   workers.reserve(static_cast<size_t>(threads));
-  for (int i = 0; i < threads; ++i) workers.emplace_back(work);
+  for (int i = 0; i < threads; ++i) workers.emplace_back(run_worker);
   for (std::thread& worker : workers) worker.join();
   return results;
 }
 
 Report MakeSlowStartReport(const std::vector<SlowStartResult>& results) {
   using Result = SlowStartResult;
-  // Scripts read the columns' titles: they are stable.
+  // Scripts read the column titles, so the titles must not change.
   static const std::vector<Column<Result>> kColumns = {
       {"point", [](const Result& result) { return result.name; }},
       {"seeds", [](const Result& result) { return std::to_string(result.seeds); }},
--- a/lab/slow_start_monitor.cpp
+++ b/lab/slow_start_monitor.cpp
@@ -20,9 +20,9 @@
   std::sort(sent.begin(), sent.end(),
             [](const SentAttempt& a, const SentAttempt& b) { return a.arrival_s < b.arrival_s; });
   double work = 0, notified_work = 0;
-  size_t first = 0;  // of the window that ends with `last`
+  size_t first = 0;  // first attempt of the window that ends with `last`
   for (const SentAttempt& last : sent) {
-    if (last.arrival_s > state.restarted_s() + slow_start_duration_s_) break;
+    if (last.arrival_s > state.restarted_at_s() + slow_start_duration_s_) break;
     work += last.work;
     notified_work += last.notified ? last.work : 0;
     while (sent[first].arrival_s <= last.arrival_s - options_.window_s) {
@@ -37,8 +37,8 @@
 
 void SlowStartMonitor::EvaluateWindow(double end_s, double work, double notified_work,
                                       const SimulatedBackend& state) {
-  // Capacity rises, so the window's begin has the least of it.
-  double begin_s = std::max(state.restarted_s(), end_s - options_.window_s);
+  // Capacity rises with time, so it is lowest at the beginning of the window.
+  double begin_s = std::max(state.restarted_at_s(), end_s - options_.window_s);
   double fraction = state.CapacityFraction(begin_s);
   double allowed = options_.multiple * fraction * state.cores() / mean_work_s_ * options_.window_s;
   double limit = allowed + 2 * std::sqrt(allowed) + 2;
--- a/lab/tenant_model.cpp
+++ b/lab/tenant_model.cpp
@@ -10,26 +10,27 @@
 namespace {
 
 constexpr std::array kUnitPrices = {1.3, 1.8};  // by plan
-constexpr double kBasicPlanShare = 0.87;        // of the tenants: each plan makes about half of the use
-constexpr double kMinRequestsPerS = 1e-9;       // a divisor above 0 where no tenant asks for anything
+constexpr double kBasicPlanShare = 0.87;        // share of the tenants; each plan has about half of the usage
+constexpr double kMinRequestsPerS = 1e-9;       // avoids a division by zero if no tenant sends requests
 constexpr uint64_t kTenantHashFactor = 1000003;
 constexpr int kMinIngressGateways = 2;
 constexpr double kMinBurstInLargestRequests = 2;
 
-// Use of its quota by a tenant that asks for far more than that, for nearly all of it, or for less.
+// Draws the demand of a tenant as a multiple of its quota: far above the quota, slightly below it, or well
+// below it.
 double DrawQuotaUtilization(Random* random) {
-  constexpr double kFarOverQuota = 0.09, kUpToNearlyAll = 0.25;  // cumulative shares of the tenants
-  double kind = random->Uniform();
-  if (kind < kFarOverQuota) return random->Between(1.6, 4.6);
-  if (kind < kUpToNearlyAll) return random->Between(0.8, 0.98);
+  constexpr double kFarOverQuotaShare = 0.09, kUpToNearQuotaShare = 0.25;  // cumulative shares of the tenants
+  double position = random->Uniform();
+  if (position < kFarOverQuotaShare) return random->Between(1.6, 4.6);
+  if (position < kUpToNearQuotaShare) return random->Between(0.8, 0.98);
   return random->Between(0.15, 0.5);
 }
 
 }  // namespace
 
 void TenantModel::QuotaBucket::Refill(const policy::PlanSettings& plan, double now_s) {
-  units = std::min(plan.burst_units, units + plan.rate_units_per_s * (now_s - refilled_s));
-  refilled_s = now_s;
+  units = std::min(plan.burst_units, units + plan.rate_units_per_s * (now_s - refilled_at_s));
+  refilled_at_s = now_s;
 }
 
 TenantModel::TenantModel(const FleetOptions& options, std::vector<policy::PlanSettings> plans, double start_s,
@@ -94,7 +95,7 @@
 
 int TenantModel::DrawIngressGateway(int tenant, double now_s, Random* random) const {
   const Tenant& drawn = at(tenant);
-  // The tenant's gateways are ranked by their traffic. Each period starts the ranking at another of them.
+  // The tenant's gateways are ranked by their traffic. In each period the ranking starts at another gateway.
   auto period = static_cast<uint64_t>(now_s / options_.ingress_rotation_s);
   uint64_t hash = policy::MixBits(static_cast<uint64_t>(tenant) * kTenantHashFactor + period);
   int offset = static_cast<int>(hash % static_cast<uint64_t>(drawn.ingress_gateways));
@@ -113,10 +114,10 @@
   return true;
 }
 
-bool TenantModel::HasHalfBurst(int tenant, double now_s) {
-  Tenant& asked = at(tenant);
-  asked.quota.Refill(PlanOf(asked), now_s);
-  return asked.quota.units >= PlanOf(asked).burst_units / 2;
+bool TenantModel::HasHalfBurstLeft(int tenant, double now_s) {
+  Tenant& checked = at(tenant);
+  checked.quota.Refill(PlanOf(checked), now_s);
+  return checked.quota.units >= PlanOf(checked).burst_units / 2;
 }
 
 bool TenantModel::TakeFromIdealQuota(int tenant, double units, double now_s) {
--- a/tests/lab/counter_model_test.cpp
+++ b/tests/lab/counter_model_test.cpp
@@ -5,9 +5,9 @@
 namespace gateway::lab {
 namespace {
 
-void ExpectCounted(const CounterModel::Reply& reply, double sent_s, double total) {
+void ExpectCounted(const CounterModel::Reply& reply, double sent_at_s, double total) {
   EXPECT_EQ(reply.status, CounterModel::ReplyStatus::kCounted);
-  EXPECT_NEAR(reply.sent_s, sent_s, 1e-9);
+  EXPECT_NEAR(reply.sent_at_s, sent_at_s, 1e-9);
   EXPECT_EQ(reply.total, total);
 }
 
@@ -20,12 +20,12 @@
   CounterModel counter(options);
   constexpr uint64_t kKey = 7;
   constexpr double kExpiryS = 5;
-  // 100 calls at once. The queue of half a second holds 50 beside the one in service.
+  // 100 calls arrive at once. The queue of half a second holds 50 calls in addition to the one in service.
   for (int i = 0; i < 51; ++i) ExpectCounted(counter.Call(10, kKey, 1, kExpiryS), 10 + i / 100.0, i + 1);
   for (int i = 51; i < 100; ++i) {
     EXPECT_EQ(counter.Call(10, kKey, 1, kExpiryS).status, CounterModel::ReplyStatus::kRejected);
   }
-  EXPECT_EQ(counter.Call(16, kKey, 0, kExpiryS).total, 0) << "a key starts from 0 after its expiry";
+  EXPECT_EQ(counter.Call(16, kKey, 0, kExpiryS).total, 0) << "an expired key must start from 0";
 }
 
 }  // namespace
--- a/tests/lab/fleet_simulation_test.cpp
+++ b/tests/lab/fleet_simulation_test.cpp
@@ -7,8 +7,8 @@
 namespace gateway::lab {
 namespace {
 
-// One gateway sends a Poisson stream to one backend. A request finds an open connection unless the gap before
-// it was longer than the idle timeout.
+// Guards against a wrong reuse of idle connections. One gateway sends a Poisson stream of requests to one
+// backend. A request reuses the connection unless the gap before it was longer than the idle timeout.
 TEST(FleetSimulation, ReusesConnectionsAsExpectedOfAPoissonStream) {
   FleetOptions options;
   options.gateways = options.backends = options.zones = options.tenants.count = 1;
--- a/tests/lab/gateway_process_experiment_test.cpp
+++ b/tests/lab/gateway_process_experiment_test.cpp
@@ -5,7 +5,7 @@
 namespace gateway::lab {
 namespace {
 
-// The real gateway reads the full list once, then the watch events of a discovery stub.
+// The real gateway receives the full list once and then the changes from the watch of a discovery stub.
 TEST(GatewayProcessExperiment, GatewayReceivesTheFullListAndItsChanges) {
   GatewayProcessOptions options;
   options.program = API_GATEWAY;
--- a/tests/lab/slow_start_experiment_test.cpp
+++ b/tests/lab/slow_start_experiment_test.cpp
@@ -5,16 +5,17 @@
 namespace gateway::lab {
 namespace {
 
-// A backend that restarts is sent work by all gateways, of which none sees what the others send. If each took
-// the backend's capacity for its own, their sum would overload it before it has warmed up. Two seeds of each
-// scenario; `gateway-lab cold` runs hundreds.
+// Guards against the overload of a restarted backend. All gateways send requests to it, and none of them sees
+// the requests of the others. If each gateway used the full capacity of the backend, they would overload it
+// together before it has warmed up. The test runs two seeds of each scenario; `gateway-lab cold` runs
+// hundreds.
 TEST(SlowStartExperiment, AllGatewaysTogetherDoNotOverloadAWarmingUpBackend) {
   constexpr int kSeeds = 2;
   constexpr int kThreads = 2;
   for (const SlowStartResult& result : RunSlowStartScenarios(SlowStartScenarios(), kSeeds, kThreads)) {
     EXPECT_EQ(result.violations, 0) << result.name;
     EXPECT_LT(result.max_notified_load_ratio, 1) << result.name;
-    EXPECT_GT(result.worst_window.work_sent, 0) << result.name << ": the backend was sent something";
+    EXPECT_GT(result.worst_window.work_sent, 0) << result.name << ": no work was sent to the backend";
   }
 }
 
