--- a/lab/backend_model.h
+++ b/lab/backend_model.h
@@ -14,8 +14,8 @@
 
 struct BackendOptions {
   int cores = 3;
-  double slow_start_initial_fraction = 0.17;  // of full capacity, right after a restart
-  double slow_start_duration_s = 17;          // the capacity rises linearly to full capacity in this time
+  double slow_start_initial_fraction = 0.17;  // fraction of full capacity right after a restart
+  double slow_start_duration_s = 17;          // time in which the capacity rises linearly to full capacity
   double max_queueing_s = 2;                  // a request that would have to queue longer is rejected
 };
 
--- a/lab/capacity_experiment.cpp
+++ b/lab/capacity_experiment.cpp
@@ -24,9 +24,9 @@
 // Measurements of the decision module.
 constexpr uint64_t kPolicySeed = 1;
 // Times of the events on the policy's clock.
-constexpr double kFullListS = 1000;
-constexpr double kRepeatedListS = 1000.1;
-constexpr double kFirstRequestS = 1001;
+constexpr double kFullListAtS = 1000;
+constexpr double kRepeatedListAtS = 1000.1;
+constexpr double kFirstRequestAtS = 1001;
 constexpr double kRequestIntervalS = 0.0065;  // 154 requests per second
 constexpr double kAttemptDurationS = 0.1;
 constexpr double kRequestTimeLeftS = 3;
@@ -34,7 +34,7 @@
 // The duration of a measurement is proportional to the number of requests times the number of backends.
 constexpr int kRequestsTimesBackends = 4000000;
 constexpr int kMinRequests = 500, kMaxRequests = 100000;
-constexpr int kMinBackendsForFit = 200;  // fewer backends are left out of the line fit
+constexpr int kMinBackendsForFit = 200;  // measurements with fewer backends are left out of the line fit
 
 // Simulations of fleets.
 constexpr int kLargeFleetGateways = 500;  // a fleet with more gateways has kZones zones
@@ -95,7 +95,7 @@
 double MeasureDecisionUs(policy::AdmissionPolicy* policy, int backends, policy::Actions* actions) {
   int requests = std::clamp(kRequestsTimesBackends / backends, kMinRequests, kMaxRequests);
   double begin_s = ThreadProcessorSeconds();
-  double now_s = kFirstRequestS;
+  double now_s = kFirstRequestAtS;
   for (int i = 1; i <= requests; ++i) {
     now_s += kRequestIntervalS;
     ProcessRequest(policy, i, now_s, actions);
@@ -200,16 +200,16 @@
 
 PolicyCost MeasurePolicyCost(int backends) {
   policy::Actions actions;
-  policy::AdmissionPolicy policy(MakePolicySettings(), kPolicySeed, kFullListS, &actions);
+  policy::AdmissionPolicy policy(MakePolicySettings(), kPolicySeed, kFullListAtS, &actions);
   const std::vector<policy::Endpoint> endpoints = MakeEndpoints(backends);
   PolicyCost cost;
   cost.backends = backends;
 
   size_t heap_bytes = HeapBytesInUse();
-  double first_ms = MeasureFullListMs(&policy, kFullListS, endpoints, &actions);
+  double first_ms = MeasureFullListMs(&policy, kFullListAtS, endpoints, &actions);
   cost.memory_bytes = static_cast<double>(HeapBytesInUse()) - static_cast<double>(heap_bytes);
   // A gateway whose watch has fallen behind receives another full list while it serves requests.
-  double second_ms = MeasureFullListMs(&policy, kRepeatedListS, endpoints, &actions);
+  double second_ms = MeasureFullListMs(&policy, kRepeatedListAtS, endpoints, &actions);
   cost.full_list_ms = std::max(first_ms, second_ms);
   cost.decision_us = MeasureDecisionUs(&policy, backends, &actions);
   return cost;
--- a/lab/counter_model.h
+++ b/lab/counter_model.h
@@ -11,7 +11,7 @@
 struct CounterOptions {
   double calls_per_s = 800;  // capacity of all shards together
   int shards = 2;
-  double processing_s = 0.001;   // of a call, excluding its time in the queue and on the network
+  double processing_s = 0.001;   // excludes the time in the queue and on the network
   double max_queueing_s = 0.06;  // a call that would have to queue longer is rejected
 };
 
--- a/lab/fleet_metrics.h
+++ b/lab/fleet_metrics.h
@@ -11,7 +11,8 @@
 
 namespace gateway::lab {
 
-// The metrics of all gateways together during the measured time.
+// The metrics of all gateways together during the measured time, except where FleetMetricsRecorder counts
+// from the start of the run.
 struct FleetMetrics {
   // Requests. The value of a request is its cost in units times the unit price of its tenant's plan.
   uint64_t first_requests = 0;  // requests of clients without retries
@@ -19,14 +20,14 @@
   uint64_t delayed = 0;         // requests whose first attempt was not made immediately
   uint64_t forwarded = 0;       // requests with at least one attempt
   uint64_t served = 0;
-  uint64_t served_in_time = 0;  // within the latency objective, counted from the client's first sending
+  uint64_t served_in_time = 0;  // served within the latency objective after the client's first sending
   uint64_t rejected = 0;
   uint64_t failed = 0;
   uint64_t rejected_with_quota = 0;  // rejected before any attempt with at least half of the burst unused
   double forwarded_units = 0;
   double over_quota_units = 0;          // forwarded units that exceeded their tenant's quota
   double offered_value = 0;             // what a single gateway that receives all first requests would admit
-  double in_quota_value_in_time = 0;    // within the quota when forwarded, and served in time
+  double in_quota_value_in_time = 0;    // value of requests forwarded within the quota and served in time
   double over_quota_penalty_value = 0;  // penalty for requests forwarded over quota
   Histogram added_latency_s;            // from the arrival of a request to its first attempt
   Histogram served_latency_s;           // from the first sending of a request to its response
--- a/lab/fleet_options.h
+++ b/lab/fleet_options.h
@@ -59,7 +59,7 @@
 struct RestartOptions {
   double backend_share = 0;
   double first_at_s = 5;  // earliest restart, counted from the start of the measured time
-  double period_s = 10;   // all restarts happen within this period
+  double period_s = 10;   // all restarts happen within this period after `first_at_s`
   int per_backend = 1;
 };
 
--- a/lab/fleet_report.cpp
+++ b/lab/fleet_report.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr const char* kTitle = "The fleet in simulated time";
-constexpr double kFirstAttemptObjectiveS = 0.0075;
+constexpr double kAddedLatencyObjectiveS = 0.0075;
 
 std::string Percent(uint64_t part, uint64_t total) {
   return FormatPercent(static_cast<double>(part), static_cast<double>(total));
@@ -16,7 +16,7 @@
 using Run = FleetRun;
 using RunColumn = Column<FleetRun>;
 
-// Options.
+// Columns with the options of a run.
 constexpr RunColumn kGatewaysAndBackends = {"gateways x backends", [](const Run& run) {
                                               return std::to_string(run.options.gateways) + " x " +
                                                      std::to_string(run.options.backends);
@@ -29,7 +29,7 @@
 constexpr RunColumn kCounterCapacity = {
     "counter bears/s", [](const Run& run) { return FormatDecimal(run.options.counter.calls_per_s, 0); }};
 
-// Requests.
+// Columns on requests.
 constexpr RunColumn kFirstRequests = {
     "first tries", [](const Run& run) { return std::to_string(run.metrics.first_requests); }};
 constexpr RunColumn kServedInTime = {"in time", [](const Run& run) {
@@ -47,7 +47,7 @@
     [](const Run& run) { return FormatDecimal(1e3 * run.metrics.added_latency_s.Percentile(0.99), 1); }};
 constexpr RunColumn kAddedLatencyInObjective = {
     "within 7.5 ms", [](const Run& run) {
-      return FormatPercent(run.metrics.added_latency_s.ShareUpTo(kFirstAttemptObjectiveS), 1);
+      return FormatPercent(run.metrics.added_latency_s.ShareUpTo(kAddedLatencyObjectiveS), 1);
     }};
 constexpr RunColumn kOverQuota = {
     "beyond quota",
@@ -56,7 +56,7 @@
     "refused with room",
     [](const Run& run) { return Percent(run.metrics.rejected_with_quota, run.metrics.requests); }};
 
-// Counter calls.
+// Columns on counter calls.
 constexpr RunColumn kCounterCallRate = {
     "calls/s", [](const Run& run) {
       return FormatDecimal(static_cast<double>(run.metrics.counter_calls) / run.options.traffic.measured_s,
@@ -69,7 +69,7 @@
     "busy",
     [](const Run& run) { return Percent(run.metrics.counter_calls_rejected, run.metrics.counter_calls); }};
 
-// Connections and backends.
+// Columns on connections and backends.
 constexpr RunColumn kConnectionReuse = {
     "reuse", [](const Run& run) { return Percent(run.metrics.connections_reused, run.metrics.attempts); }};
 constexpr RunColumn kMeanConnections = {
@@ -84,7 +84,7 @@
 constexpr RunColumn kImbalance = {"imbalance",
                                   [](const Run& run) { return FormatDecimal(run.metrics.imbalance); }};
 
-// Cost.
+// Columns on the use of the network and the processor.
 constexpr RunColumn kEndpointListRate = {
     "list kB/s a gateway", [](const Run& run) {
       double bytes_per_gateway = run.metrics.endpoint_list_bytes / run.options.gateways;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -112,7 +112,7 @@
 struct SlowStartCommand {
   int seeds = 200;
   int threads = static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
-  std::string name_part;
+  std::string name_filter;
 };
 
 CLI::App* AddSlowStartCommand(CLI::App* app, SlowStartCommand* command) {
@@ -122,7 +122,7 @@
       ->check(CLI::Range(1, 10000))
       ->capture_default_str();
   slow_start->add_option("--threads", command->threads)->check(CLI::Range(1, 64))->capture_default_str();
-  slow_start->add_option("--only", command->name_part, "run only scenarios whose names contain this text");
+  slow_start->add_option("--only", command->name_filter, "run only scenarios whose names contain this text");
   return slow_start;
 }
 
@@ -130,7 +130,7 @@
 int RunSlowStartCommand(const SlowStartCommand& command, const std::string& json_path) {
   std::vector<SlowStartScenario> scenarios = SlowStartScenarios();
   std::erase_if(scenarios, [&](const SlowStartScenario& scenario) {
-    return scenario.name.find(command.name_part) == std::string::npos;
+    return scenario.name.find(command.name_filter) == std::string::npos;
   });
   std::vector<SlowStartResult> results = RunSlowStartScenarios(scenarios, command.seeds, command.threads);
   bool printed = PrintReport(MakeSlowStartReport(results), json_path);
@@ -142,7 +142,7 @@
 CLI::App* AddGatewayProcessCommand(CLI::App* app, GatewayProcessOptions* options) {
   CLI::App* process =
       app->add_subcommand("control", "measure one real gateway on loopback with a discovery stub");
-  process->add_option("--gateway", options->program, "the program")->capture_default_str();
+  process->add_option("--gateway", options->program, "path of the gateway program")->capture_default_str();
   process->add_option("--backends", options->backends)->check(CLI::Range(1, 10000))->capture_default_str();
   process->add_option("--changes", options->changes_per_s, "changes of the endpoint list per second")
       ->check(CLI::Range(0.0, 1000.0))
@@ -164,8 +164,8 @@
 CLI::App* AddCapacityCommand(CLI::App* app, CapacityCommand* command) {
   CLI::App* capacity =
       app->add_subcommand("slopes", "make the measurements for docs/CAPACITY.md and print its tables");
-  capacity->add_option("--gateway", command->program, "the program")->capture_default_str();
-  capacity->add_flag("--brief", command->brief, "fewer and shorter runs");
+  capacity->add_option("--gateway", command->program, "path of the gateway program")->capture_default_str();
+  capacity->add_flag("--brief", command->brief, "make fewer and shorter runs");
   return capacity;
 }
 
@@ -191,7 +191,8 @@
 CLI::App* AddSoakCommand(CLI::App* app, SoakCommand* command) {
   CLI::App* soak = app->add_subcommand(
       "soak", "run real gateways on loopback with seeded failures and check every rule for every request");
-  soak->add_option("--gateway", command->options.program, "the program")->capture_default_str();
+  soak->add_option("--gateway", command->options.program, "path of the gateway program")
+      ->capture_default_str();
   soak->add_option("--seeds", command->seeds, "a number, or a range such as 1-50")->capture_default_str();
   soak->add_option("--seconds", command->options.duration_s, "duration of each seed")
       ->check(CLI::Range(6.0, 3600.0))
--- a/lab/simulated_gateway.h
+++ b/lab/simulated_gateway.h
@@ -1,5 +1,4 @@
-// Simulates one gateway of a fleet: a real decision module, and the state that a gateway process keeps for
-// it.
+// Simulates one gateway of a fleet: a real decision module and the state that a gateway process keeps for it.
 #ifndef GATEWAY_LAB_SIMULATED_GATEWAY_H_
 #define GATEWAY_LAB_SIMULATED_GATEWAY_H_
 
--- a/lab/slow_start_monitor.h
+++ b/lab/slow_start_monitor.h
@@ -18,7 +18,7 @@
   double notified_load_ratio = 0;      // part of `load_ratio` from gateways that were notified of the restart
   double max_notified_load_ratio = 0;  // highest such part in any window
   double work_sent = 0;
-  double work_allowed = 0;  // N
+  double work_allowed = 0;  // N in the rule above
 
   // Returns whether the rule is violated: the work exceeds the limit, and gateways that were notified of the
   // restart sent more than two thirds of that work.
--- a/lab/tenant_model.cpp
+++ b/lab/tenant_model.cpp
@@ -14,7 +14,7 @@
 constexpr double kMinRequestsPerS = 1e-9;       // avoids a division by zero if no tenant sends requests
 constexpr uint64_t kTenantHashFactor = 1000003;
 constexpr int kMinIngressGateways = 2;
-constexpr double kMinBurstInLargestRequests = 2;
+constexpr double kMinBurstPerMaxCost = 2;
 
 // Draws the demand of a tenant as a multiple of its quota: far above the quota, slightly below it, or well
 // below it.
@@ -76,7 +76,7 @@
 void TenantModel::ScalePlans(double factor) {
   for (policy::PlanSettings& plan : plans_) {
     plan.rate_units_per_s *= factor;
-    plan.burst_units = std::max(plan.burst_units * factor, kMinBurstInLargestRequests * max_cost_units_);
+    plan.burst_units = std::max(plan.burst_units * factor, kMinBurstPerMaxCost * max_cost_units_);
   }
 }
 
--- a/lab/tenant_model.h
+++ b/lab/tenant_model.h
@@ -21,7 +21,7 @@
               Random* random);
 
   const std::vector<policy::PlanSettings>& plans() const { return plans_; }
-  // Returns the traffic of all tenants that is within their quotas.
+  // Returns the part of the traffic of all tenants that is within their quotas.
   double in_quota_requests_per_s() const { return in_quota_requests_per_s_; }
 
   int plan(int tenant) const { return at(tenant).plan; }
