--- a/tests/net/backend_connection_pool_test.cpp
+++ b/tests/net/backend_connection_pool_test.cpp
@@ -50,7 +50,7 @@
   size_t got = 0;
   bool complete = false;
   CancelResult cancelled = CancelResult::kAlreadyEnded;
-  auto end = Clock::now() + std::chrono::seconds(kLimitS);
+  auto end = Clock::now() + std::chrono::seconds(kWaitTimeoutS);
   pollfd ready{connection->fd(), POLLIN, 0};
   while (!complete && Clock::now() < end) {
     // Everything is read before the loop takes its next step, so that one step may write the rest.
--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -19,7 +19,7 @@
 // A server and its clients' connections, in a loop that the test turns.
 struct ClientServerFixture : EventLoop {
   explicit ClientServerFixture(size_t max_connections = 100,
-                               Clock::duration request_timeout = std::chrono::seconds(kLimitS))
+                               Clock::duration request_timeout = std::chrono::seconds(kWaitTimeoutS))
       : server(
             io, max_connections,
             [this](uint64_t connection, ClientRequest request) {
--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -23,7 +23,7 @@
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
                [this](policy::CounterReply reply) { replies.push_back(reply); }) {}
   void RunUntil(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
     while (!done() && std::chrono::steady_clock::now() < end) io.run_one_for(std::chrono::milliseconds(50));
     EXPECT_TRUE(done());
   }
--- a/tests/net/event_loop_monitor_test.cpp
+++ b/tests/net/event_loop_monitor_test.cpp
@@ -54,8 +54,8 @@
   MonitorFixture fixture;
   Clock::time_point start = Clock::now();
   fixture.monitor.WakeUpSoon(start);
-  fixture.timers.AddRequestDeadline(start + Seconds(kLimitS), 1);
-  fixture.RunUntil([&] { return fixture.timers.next_due() == start + Seconds(kLimitS); });
+  fixture.timers.AddRequestDeadline(start + Seconds(kWaitTimeoutS), 1);
+  fixture.RunUntil([&] { return fixture.timers.next_due() == start + Seconds(kWaitTimeoutS); });
   EXPECT_GE(Clock::now(), start + EventLoopMonitor::kWakeUpInterval);
 }
 
--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -34,7 +34,7 @@
   auto begin = std::chrono::steady_clock::now();
   for (auto& connection : incomplete) EXPECT_TRUE(connection->AwaitEnd());
   EXPECT_TRUE(served->AwaitEnd());
-  EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(kLimitS / 2))
+  EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(kWaitTimeoutS / 2))
       << "by its own doing";
 }
 
--- a/tests/net/gateway_discovery_test.cpp
+++ b/tests/net/gateway_discovery_test.cpp
@@ -129,7 +129,7 @@
   for (std::thread& start : starting) start.join();
   for (auto& gateway : gateways) {
     ASSERT_NE(gateway->port, 0) << gateway->first_line;
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
     auto probe = gateway->Connect();
     int status = 0;
     while (status != 200 && std::chrono::steady_clock::now() < limit) {
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -35,7 +35,7 @@
 
 // A connection takes no request for some milliseconds after a response, and then is used again.
 void ExpectConnectionsReused(TestConnection& client, StubBackend& backend) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
   while (backend.connections() == backend.requests.count() && std::chrono::steady_clock::now() < limit) {
     EXPECT_NE(Exchange(client, MakeRequest("quote")).status(), 0);
   }
--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -154,7 +154,7 @@
   TestConnection client(fd);
   client.Write(MakeRequest("send-lead"));
   pollfd ready{fd, POLLIN, 0};
-  EXPECT_GT(poll(&ready, 1, 1000 * kLimitS), 0);  // the response has begun
+  EXPECT_GT(poll(&ready, 1, 1000 * kWaitTimeoutS), 0);  // the response has begun
   fixture.gateway->Signal(SIGTERM);
   auto idle = fixture.gateway->Connect();
   EXPECT_TRUE(idle->AwaitEnd());  // the time to go on accepting is over
--- a/tests/net/log_descriptor_test.cpp
+++ b/tests/net/log_descriptor_test.cpp
@@ -81,7 +81,7 @@
 void ReadUntilThereIsRoom(const Channel& channel) {
   char part[65536];
   EXPECT_GT(read(channel.reader, part, sizeof(part)), 0);
-  auto end = std::chrono::steady_clock::now() + std::chrono::seconds(test_support::kLimitS);
+  auto end = std::chrono::steady_clock::now() + std::chrono::seconds(test_support::kWaitTimeoutS);
   pollfd room{channel.writer, POLLOUT, 0};
   while (poll(&room, 1, 0) == 0 && std::chrono::steady_clock::now() < end) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
--- a/tests/support/event.h
+++ b/tests/support/event.h
@@ -21,7 +21,7 @@
   // Waits until there have been so many. False if they have not come within the limit.
   bool Wait(int at_least = 1) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, std::chrono::seconds(kLimitS), [&] { return count_ >= at_least; });
+    return changed_.wait_for(lock, std::chrono::seconds(kWaitTimeoutS), [&] { return count_ >= at_least; });
   }
   int count() {
     std::lock_guard lock(mutex_);
--- a/tests/support/event_loop.h
+++ b/tests/support/event_loop.h
@@ -20,9 +20,9 @@
 
 // An event loop that the test turns itself, one handler at a time.
 struct EventLoop {
-  // Runs handlers until `done()` is true; fails the test where that takes longer than kLimitS.
+  // Runs handlers until `done()` is true; fails the test where that takes longer than kWaitTimeoutS.
   void RunUntil(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
     while (!done() && std::chrono::steady_clock::now() < end) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(20));
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -80,7 +80,7 @@
   bool ReadLogUntil(const std::string& text) {
     pollfd more{log_fd_, POLLIN, 0};
     while (log.find(text) == std::string::npos) {
-      if (poll(&more, 1, kLimitS * 1000) != 1 || !ReadLogPart()) return false;
+      if (poll(&more, 1, kWaitTimeoutS * 1000) != 1 || !ReadLogPart()) return false;
     }
     return true;
   }
--- a/tests/support/gateway_start.h
+++ b/tests/support/gateway_start.h
@@ -90,7 +90,7 @@
   }
   // Waits until the gateway listens, and connects to it. Null where it does not come to listen.
   std::unique_ptr<TestConnection> Connect() const {
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
     while (!HasEnded() && std::chrono::steady_clock::now() < limit) {
       int port = ListeningPort();
       if (port != 0) return TestConnection::ConnectTo(port);
@@ -109,7 +109,7 @@
     int descriptor = static_cast<int>(syscall(SYS_pidfd_open, pid_, 0));
     EXPECT_GE(descriptor, 0);
     pollfd end{descriptor, POLLIN, 0};
-    bool ended = poll(&end, 1, kLimitS * 1000) == 1;
+    bool ended = poll(&end, 1, kWaitTimeoutS * 1000) == 1;
     close(descriptor);
     return ended;
   }
--- a/tests/support/tcp_table.h
+++ b/tests/support/tcp_table.h
@@ -54,7 +54,7 @@
 
 // Waits until a connection to `port` is being opened, or until none is any more.
 inline void AwaitConnecting(int port, bool connecting = true) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
   while (IsConnecting(port) != connecting && std::chrono::steady_clock::now() < limit) {
     std::this_thread::yield();
   }
@@ -70,7 +70,7 @@
 
 // Waits until unread bytes from one of the peers have come.
 inline void AwaitArrival(std::initializer_list<int> ports) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kLimitS);
+  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
   while (std::none_of(ports.begin(), ports.end(), HasArrived) && std::chrono::steady_clock::now() < limit) {
     std::this_thread::yield();
   }
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -29,12 +29,12 @@
   return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 }
 
-// One end of a blocking TCP connection, of a client or of a server. A read that takes longer than kLimitS
-// fails as the connection's end would.
+// One end of a blocking TCP connection, of a client or of a server. A read that takes longer than
+// kWaitTimeoutS fails as the connection's end would.
 class TestConnection {
  public:
   explicit TestConnection(int fd) : fd_(fd) {
-    timeval limit{kLimitS, 0};
+    timeval limit{kWaitTimeoutS, 0};
     setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof(limit));
   }
   ~TestConnection() { Close(); }
--- a/tests/support/time_limit.h
+++ b/tests/support/time_limit.h
@@ -5,7 +5,7 @@
 namespace gateway::test_support {
 
 // s; far above what any awaited event takes. One that has not come by then never will.
-inline constexpr int kLimitS = 60;
+inline constexpr int kWaitTimeoutS = 60;
 
 }  // namespace gateway::test_support
 
