--- a/tests/net/gateway_start_test.cpp
+++ b/tests/net/gateway_start_test.cpp
@@ -325,7 +325,7 @@
   surroundings.discovery.SetSilent(true);  // a time-out and a wake-up wait for the clock
   GatewayWithControlledClock process(surroundings.path());
   ASSERT_NE(process.clock, nullptr);
-  process.clock->stands_still = true;
+  process.clock->frozen = true;
   process.Start();
   std::unique_ptr<TestConnection> client = process.gateway->Connect();
   ASSERT_NE(client, nullptr);
--- a/tests/support/controlled_clock.cpp
+++ b/tests/support/controlled_clock.cpp
@@ -39,7 +39,7 @@
   static const int64_t kMonotonicStart = SystemNs(CLOCK_MONOTONIC);
   static const int64_t kRealtimeStart = SystemNs(CLOCK_REALTIME);
   ControlledClock& control = Control();
-  int64_t passed = control.stands_still ? 0 : SystemNs(CLOCK_MONOTONIC) - kMonotonicStart;
+  int64_t passed = control.frozen ? 0 : SystemNs(CLOCK_MONOTONIC) - kMonotonicStart;
   if (clock == CLOCK_REALTIME) return kRealtimeStart + passed;
   ++control.monotonic_readings;
   return kMonotonicStart + passed;
--- a/tests/support/controlled_clock.h
+++ b/tests/support/controlled_clock.h
@@ -16,7 +16,7 @@
 inline constexpr char kControlledClockVariable[] = "TEST_CONTROLLED_CLOCK";
 
 struct ControlledClock {
-  std::atomic<bool> stands_still;           // from the process's first reading on
+  std::atomic<bool> frozen;                 // from the process's first reading on
   std::atomic<int64_t> monotonic_readings;  // how often the process has read CLOCK_MONOTONIC
   std::atomic<int64_t> event_loop_waits;    // how often it has waited in epoll_wait
   std::atomic<int64_t> other_timed_waits;   // calls of poll with a time-out, and of nanosleep
