--- a/tests/net/client_left_test.cpp
+++ b/tests/net/client_left_test.cpp
@@ -127,7 +127,7 @@
   gateway.Signal(SIGSTOP);
   delayed.released.Add();  // its reply comes first
   AwaitArrival({delayed.counter.port()});
-  client->EndSending();
+  client->HalfClose();
   gateway.Signal(SIGCONT);
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
   EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted";
--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -123,7 +123,7 @@
   s.RunUntil([&] { return s.requests.size() == 1; });
   std::string body(24 << 20, 'b');
   s.Reply(0, body);
-  client->EndSending();
+  client->HalfClose();
   for (int i = 0; i < 10; ++i) s.io.poll_one();  // the end is seen while the response waits for the socket
   std::string got;
   std::thread reader([&] { got = client->Read().body; });
--- a/tests/net/discovery_client_test.cpp
+++ b/tests/net/discovery_client_test.cpp
@@ -158,7 +158,7 @@
       {"half a response",
        [](DiscoveryFixture& a) {
          a.connection->Write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"ind");
-         a.connection->EndSending();
+         a.connection->HalfClose();
        }},
       {"silence after half",
        [](DiscoveryFixture& a) { a.connection->Write("HTTP/1.1 200 OK\r\nContent-Le"); }},
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -82,7 +82,7 @@
   }
   // Ends both directions, so that a thread that reads from it returns.
   void Stop() { shutdown(fd_, SHUT_RDWR); }
-  void EndSending() { shutdown(fd_, SHUT_WR); }
+  void HalfClose() { shutdown(fd_, SHUT_WR); }
   // Ends the connection by a reset, whatever is still unread or unsent.
   void Reset() {
     linger now{1, 0};
