--- a/tests/net/client_left_test.cpp
+++ b/tests/net/client_left_test.cpp
@@ -126,7 +126,7 @@
   Exchange(*gateway.Connect(), kReadinessRequest);
   gateway.Signal(SIGSTOP);
   delayed.released.Add();  // its reply comes first
-  AwaitArrival({delayed.counter.port()});
+  AwaitUnreadBytes({delayed.counter.port()});
   client->HalfClose();
   gateway.Signal(SIGCONT);
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
@@ -192,7 +192,7 @@
   EXPECT_TRUE(backends.failing.Wait());
   fixture.gateway->Signal(SIGSTOP);
   backends.released.Add();
-  AwaitArrival({backends.one.port(), backends.two.port()});  // the failure comes before the client's end
+  AwaitUnreadBytes({backends.one.port(), backends.two.port()});  // the failure comes before the client's end
   // Until the other backend's connection has settled and could take a request.
   std::this_thread::sleep_for(2 * Seconds(BackendConnectionPool::kMinIdleBeforeReuseS));
   Leave(*client, reset);
--- a/tests/support/tcp_table.h
+++ b/tests/support/tcp_table.h
@@ -61,7 +61,7 @@
 }
 
 // Whether bytes from a peer at `port` have come that their receiver has not read yet.
-inline bool HasArrived(int port) {
+inline bool HasUnreadBytesFrom(int port) {
   std::vector<TcpSocket> table = TcpTable();
   return std::any_of(table.begin(), table.end(), [port](const TcpSocket& socket) {
     return socket.remote_port == static_cast<unsigned>(port) && socket.unread_bytes > 0;
@@ -69,9 +69,10 @@
 }
 
 // Waits until unread bytes from one of the peers have come.
-inline void AwaitArrival(std::initializer_list<int> ports) {
+inline void AwaitUnreadBytes(std::initializer_list<int> ports) {
   auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
-  while (std::none_of(ports.begin(), ports.end(), HasArrived) && std::chrono::steady_clock::now() < limit) {
+  while (std::none_of(ports.begin(), ports.end(), HasUnreadBytesFrom) &&
+         std::chrono::steady_clock::now() < limit) {
     std::this_thread::yield();
   }
 }
