--- a/tests/support/client_request.h
+++ b/tests/support/client_request.h
@@ -1,4 +1,4 @@
-// Clients' requests to the gateway.
+// Requests that test clients send to the gateway.
 #ifndef GATEWAY_TESTS_SUPPORT_CLIENT_REQUEST_H_
 #define GATEWAY_TESTS_SUPPORT_CLIENT_REQUEST_H_
 
@@ -10,26 +10,27 @@
 
 namespace gateway::test_support {
 
-// A request of class `cls`, which may be followed by a query, with an id of its own. `spread`: over how many
-// gateways its tenant's requests come; `more`: further field lines.
-inline std::string MakeRequest(const std::string& cls, int spread = 1, int timeout_ms = 3000,
-                               const std::string& more = "", const std::string& body = "") {
-  static std::atomic<int> last{0};
-  std::string id = std::to_string(1000 + ++last);
-  std::string text =
-      (cls.substr(0, 5) == "quote" ? "GET /" : "POST /") + cls + " HTTP/1.1\r\nHost: app.svc\r\n";
+// Returns a valid request with a unique id. `request_class` is its path without the leading slash and may
+// include a query. `spread` is the number of gateways over which the tenant's requests are spread.
+// `more_fields` holds further field lines, each terminated by CRLF.
+inline std::string MakeRequest(const std::string& request_class, int spread = 1, int timeout_ms = 3000,
+                               const std::string& more_fields = "", const std::string& body = "") {
+  static std::atomic<int> last_id{0};
+  std::string id = std::to_string(1000 + ++last_id);
+  std::string text = (request_class.substr(0, 5) == "quote" ? "GET /" : "POST /") + request_class +
+                     " HTTP/1.1\r\nHost: app.svc\r\n";
   text += "Request-Id: " + id + "\r\nX-Tier: business\r\nCookie: client=00000000b4d65521\r\n";
   text += "Request-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\n";
   text += "X-Call-Terms: units=1,spread=" + std::to_string(spread) + ",first=0\r\n";
-  if (cls == "save-scenario") text += "Idempotency-Key: k" + id + "\r\n";
+  if (request_class == "save-scenario") text += "Idempotency-Key: k" + id + "\r\n";
   if (!body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
-  return text + more + "\r\n" + body;
+  return text + more_fields + "\r\n" + body;
 }
 
-// Answered by 200 where the gateway is ready.
+// The gateway answers this with status 200 if it is ready.
 inline constexpr char kReadinessRequest[] = "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-// Sends a request and reads the response.
+// Sends the request and returns the response.
 inline HttpMessage Exchange(TestConnection& connection, const std::string& request) {
   connection.Write(request);
   return connection.Read();
--- a/tests/support/http_message.h
+++ b/tests/support/http_message.h
@@ -1,4 +1,4 @@
-// HTTP messages as the socket tests read and write them.
+// HTTP messages as the tests read and write them.
 #ifndef GATEWAY_TESTS_SUPPORT_HTTP_MESSAGE_H_
 #define GATEWAY_TESTS_SUPPORT_HTTP_MESSAGE_H_
 
@@ -8,29 +8,29 @@
 
 namespace gateway::test_support {
 
-// An HTTP/1.1 message with a Content-Length, as it came.
+// A received HTTP/1.1 message whose body length is given by Content-Length.
 struct HttpMessage {
-  std::string head;  // start line and fields, each ended by CRLF
+  std::string head;  // start line and field lines, each terminated by CRLF
   std::string body;
-  bool complete = false;  // false: the connection ended within it
+  bool complete = false;  // false if the connection ended within the message
 
-  // The value of a field, by its name in any case; empty where there is none.
+  // Returns the value of a field, whose name is not case-sensitive, or an empty string if there is none.
   std::string Header(const std::string& name) const {
-    std::string low = Low(head), want = "\r\n" + Low(name) + ": ";
-    size_t at = low.find(want);
+    std::string lower_head = ToLower(head), field_start = "\r\n" + ToLower(name) + ": ";
+    size_t at = lower_head.find(field_start);
     if (at == std::string::npos) return "";
-    at += want.size();
+    at += field_start.size();
     return head.substr(at, head.find("\r\n", at) - at);
   }
-  static std::string Low(std::string text) {
+  static std::string ToLower(std::string text) {
     for (char& c : text) c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
     return text;
   }
-  // Of a response; 0 for one that is not whole.
+  // Returns the status of a response, or 0 if the message is incomplete.
   int status() const { return complete && head.size() > 12 ? std::atoi(head.c_str() + 9) : 0; }
 };
 
-// A 200 response; `headers` are further field lines, each ended by CRLF.
+// Returns a 200 response. `headers` holds further field lines, each terminated by CRLF.
 inline std::string OkResponse(const std::string& body, const std::string& headers = "") {
   return "HTTP/1.1 200 OK\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
          body;
--- a/tests/support/manual_listener.h
+++ b/tests/support/manual_listener.h
@@ -1,4 +1,4 @@
-// A listener whose accepts are steps of a test.
+// A listener that accepts connections only when the test tells it to.
 #ifndef GATEWAY_TESTS_SUPPORT_MANUAL_LISTENER_H_
 #define GATEWAY_TESTS_SUPPORT_MANUAL_LISTENER_H_
 
@@ -15,31 +15,33 @@
 
 namespace gateway::test_support {
 
-// A listener on a free loopback port that accepts a connection only when the test says so. With `places` 0
-// its queue holds one connection, and further ones do not come up until that is taken.
+// Listens on a free loopback port. Connections stay in the accept queue until the test calls Accept(). With a
+// `backlog` of 0 the queue holds one connection, and further ones are not established until that one is
+// accepted.
 class ManualListener {
  public:
-  explicit ManualListener(int places = 64) {
-    sockaddr_in at;
-    fd_ = OpenLoopbackSocket(&at, 0);
-    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
-    EXPECT_EQ(listen(fd_, places), 0);
-    socklen_t size = sizeof(at);
-    getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-    port_ = ntohs(at.sin_port);
+  explicit ManualListener(int backlog = 64) {
+    sockaddr_in address;
+    fd_ = OpenLoopbackSocket(&address, 0);
+    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
+    EXPECT_EQ(listen(fd_, backlog), 0);
+    socklen_t size = sizeof(address);
+    getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
+    port_ = ntohs(address.sin_port);
   }
   ~ManualListener() { close(fd_); }
   int port() const { return port_; }
-  // Accepts the first connection of the queue, and waits for it.
+  // Accepts the first connection of the accept queue. Blocks until there is one.
   std::unique_ptr<TestConnection> Accept() {
     return std::make_unique<TestConnection>(accept(fd_, nullptr, nullptr));
   }
-  // Whether a connection is in the queue.
+  // Whether a connection is in the accept queue.
   bool HasPending() const {
     pollfd ready{fd_, POLLIN, 0};
     return poll(&ready, 1, 0) > 0;
   }
-  // All bytes that have come on the connections in the queue, whose other sides must have ended or be ending.
+  // Accepts all connections of the accept queue and returns the bytes received on them. The peers must have
+  // closed these connections or be about to close them.
   std::string ReceiveAll() {
     std::string all;
     while (HasPending()) {
--- a/tests/support/tcp_table.h
+++ b/tests/support/tcp_table.h
@@ -1,4 +1,4 @@
-// What the kernel's table of TCP connections says, of all processes in this network namespace.
+// Reads the kernel's table of the TCP sockets of all processes in this network namespace.
 #ifndef GATEWAY_TESTS_SUPPORT_TCP_TABLE_H_
 #define GATEWAY_TESTS_SUPPORT_TCP_TABLE_H_
 
@@ -15,7 +15,7 @@
 
 namespace gateway::test_support {
 
-// The states of a socket that tests ask for, as the kernel numbers them.
+// Socket states that tests check, with the kernel's numbers.
 enum class TcpState : unsigned { kSynSent = 0x02, kListening = 0x0A };
 
 struct TcpSocket {
@@ -23,7 +23,7 @@
   unsigned remote_port = 0;
   TcpState state{};
   unsigned unread_bytes = 0;
-  unsigned long inode = 0;  // names the socket in /proc/<pid>/fd
+  unsigned long inode = 0;  // identifies the socket in /proc/<pid>/fd
 };
 
 inline std::vector<TcpSocket> TcpTable() {
@@ -32,9 +32,10 @@
   for (std::string line; std::getline(table, line);) {
     TcpSocket socket;
     unsigned state = 0;
-    // sl, local and remote address, state, bytes unsent and unread, timer, retransmits, uid, timeout, inode
+    // The columns are: entry number, local address, remote address, state, unsent and unread bytes, timer,
+    // retransmissions, user id, timeout and inode.
     constexpr char kFormat[] = " %*d: %*x:%x %*x:%x %x %*x:%x %*x:%*x %*x %*u %*d %lu";
-    constexpr int kFields = 5;  // the table's heading has none of them
+    constexpr int kFields = 5;  // sscanf reads none of them from the heading of the table
     int fields = std::sscanf(line.c_str(), kFormat, &socket.local_port, &socket.remote_port, &state,
                              &socket.unread_bytes, &socket.inode);
     if (fields != kFields) continue;
@@ -44,7 +45,7 @@
   return sockets;
 }
 
-// Whether a connection to `port` is still to come up.
+// Whether a connection to `port` is being established.
 inline bool IsConnecting(int port) {
   std::vector<TcpSocket> table = TcpTable();
   return std::any_of(table.begin(), table.end(), [port](const TcpSocket& socket) {
@@ -52,15 +53,16 @@
   });
 }
 
-// Waits until a connection to `port` is being opened, or until none is any more.
+// Waits until a connection to `port` is being established or, if `connecting` is false, until none is.
+// Returns after kWaitTimeoutS in any case.
 inline void AwaitConnecting(int port, bool connecting = true) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
-  while (IsConnecting(port) != connecting && std::chrono::steady_clock::now() < limit) {
+  auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
+  while (IsConnecting(port) != connecting && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::yield();
   }
 }
 
-// Whether bytes from a peer at `port` have come that their receiver has not read yet.
+// Whether bytes from a peer at `port` have been received but not yet read by the application.
 inline bool HasUnreadBytesFrom(int port) {
   std::vector<TcpSocket> table = TcpTable();
   return std::any_of(table.begin(), table.end(), [port](const TcpSocket& socket) {
@@ -68,11 +70,12 @@
   });
 }
 
-// Waits until unread bytes from one of the peers have come.
+// Waits until a socket has unread bytes from a peer at one of the ports. Returns after kWaitTimeoutS in any
+// case.
 inline void AwaitUnreadBytes(std::initializer_list<int> ports) {
-  auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
+  auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
   while (std::none_of(ports.begin(), ports.end(), HasUnreadBytesFrom) &&
-         std::chrono::steady_clock::now() < limit) {
+         std::chrono::steady_clock::now() < deadline) {
     std::this_thread::yield();
   }
 }
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -1,4 +1,4 @@
-// Blocking TCP connections over loopback, of either side.
+// Blocking TCP connections over the loopback interface, for clients and servers.
 #ifndef GATEWAY_TESTS_SUPPORT_TEST_CONNECTION_H_
 #define GATEWAY_TESTS_SUPPORT_TEST_CONNECTION_H_
 
@@ -20,17 +20,18 @@
 
 namespace gateway::test_support {
 
-// Opens a TCP socket. `*at` becomes the loopback address with the port; 0 stands for any free port.
-inline int OpenLoopbackSocket(sockaddr_in* at, int port) {
-  *at = {};
-  at->sin_family = AF_INET;
-  at->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  at->sin_port = htons(static_cast<uint16_t>(port));
+// Opens a TCP socket and sets `*address` to the loopback address with the port. Port 0 stands for any free
+// port when a socket is bound to that address.
+inline int OpenLoopbackSocket(sockaddr_in* address, int port) {
+  *address = {};
+  address->sin_family = AF_INET;
+  address->sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address->sin_port = htons(static_cast<uint16_t>(port));
   return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 }
 
-// One end of a blocking TCP connection, of a client or of a server. A read that takes longer than
-// kWaitTimeoutS fails as the connection's end would.
+// One end of a blocking TCP connection. A read that takes longer than kWaitTimeoutS fails in the same way as
+// at the end of the connection.
 class TestConnection {
  public:
   explicit TestConnection(int fd) : fd_(fd) {
@@ -42,51 +43,52 @@
   TestConnection& operator=(const TestConnection&) = delete;
   // Connects to a loopback port.
   static std::unique_ptr<TestConnection> ConnectTo(int port) {
-    sockaddr_in at;
-    int fd = OpenLoopbackSocket(&at, port);
-    EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0) << std::strerror(errno);
+    sockaddr_in address;
+    int fd = OpenLoopbackSocket(&address, port);
+    EXPECT_EQ(connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0) << std::strerror(errno);
     return std::make_unique<TestConnection>(fd);
   }
   void Write(const std::string& text) { (void)!send(fd_, text.data(), text.size(), MSG_NOSIGNAL); }
-  // Receives more bytes into `unread`. False at the connection's end.
+  // Receives more bytes into `unread`. Returns false if the peer has closed the connection or the read
+  // failed.
   bool Receive() {
     char part[65536];
     ssize_t n = recv(fd_, part, sizeof(part), 0);
     if (n > 0) unread.append(part, static_cast<size_t>(n));
     return n > 0;
   }
-  // The next message. Not whole where the connection ends within it.
+  // Returns the next message. It is incomplete if the connection ends within it.
   HttpMessage Read() {
-    HttpMessage m;
+    HttpMessage message;
     size_t end;
     while ((end = unread.find("\r\n\r\n")) == std::string::npos) {
-      if (!Receive()) return m;
+      if (!Receive()) return message;
     }
-    m.head = unread.substr(0, end + 2);
-    size_t length = static_cast<size_t>(std::atol(m.Header("Content-Length").c_str()));
+    message.head = unread.substr(0, end + 2);
+    size_t length = static_cast<size_t>(std::atol(message.Header("Content-Length").c_str()));
     while (unread.size() < end + 4 + length) {
-      if (!Receive()) return m;
+      if (!Receive()) return message;
     }
-    m.body = unread.substr(end + 4, length);
+    message.body = unread.substr(end + 4, length);
     unread.erase(0, end + 4 + length);
-    m.complete = true;
-    return m;
+    message.complete = true;
+    return message;
   }
-  // Waits for the other side's end of the connection; true if nothing more came before it.
+  // Waits until the connection ends or bytes arrive. Returns true if it has ended.
   bool AwaitEnd() { return !Receive(); }
-  // Whether the other side has not ended the connection, or has sent bytes before that.
+  // Whether the peer has not closed the connection, or bytes that it sent before are still unread.
   bool IsOpen() const {
     char byte;
     ssize_t n = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n > 0 || (n < 0 && errno == EAGAIN);
   }
-  // Ends both directions, so that a thread that reads from it returns.
+  // Shuts down both directions, so that a thread that is blocked in a read returns.
   void Stop() { shutdown(fd_, SHUT_RDWR); }
   void HalfClose() { shutdown(fd_, SHUT_WR); }
-  // Ends the connection by a reset, whatever is still unread or unsent.
+  // Closes the connection with a reset, even if data is still unread or unsent.
   void Reset() {
-    linger now{1, 0};
-    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+    linger discard_unsent{1, 0};
+    setsockopt(fd_, SOL_SOCKET, SO_LINGER, &discard_unsent, sizeof(discard_unsent));
     Close();
   }
   int fd() const { return fd_; }
@@ -94,7 +96,7 @@
     if (fd_ >= 0) close(fd_);
     fd_ = -1;
   }
-  std::string unread;  // bytes received and not yet part of a message that Read returned
+  std::string unread;  // bytes received but not yet returned by Read() as part of a message
 
  private:
   int fd_;
--- a/tests/support/time_limit.h
+++ b/tests/support/time_limit.h
@@ -1,10 +1,11 @@
-// The bound on every wait of the socket tests.
+// The time limit of every wait in the tests.
 #ifndef GATEWAY_TESTS_SUPPORT_TIME_LIMIT_H_
 #define GATEWAY_TESTS_SUPPORT_TIME_LIMIT_H_
 
 namespace gateway::test_support {
 
-// s; far above what any awaited event takes. One that has not come by then never will.
+// Far longer than any awaited event takes, even on a busy machine, so that an event that has not occurred by
+// then can be assumed to never occur.
 inline constexpr int kWaitTimeoutS = 60;
 
 }  // namespace gateway::test_support
