--- a/tests/support/stub_backend.h
+++ b/tests/support/stub_backend.h
@@ -1,4 +1,4 @@
-// A backend that answers as a test wishes.
+// A backend whose responses the test chooses.
 #ifndef GATEWAY_TESTS_SUPPORT_STUB_BACKEND_H_
 #define GATEWAY_TESTS_SUPPORT_STUB_BACKEND_H_
 
@@ -16,13 +16,13 @@
 
 namespace gateway::test_support {
 
-// A backend that records its requests and answers each by `answer(request, connection)`, on the connection's
-// thread; an empty answer ends the connection.
+// Records each request and answers it with the text that `respond(request, connection)` returns. `respond` is
+// called on the connection's thread. An empty text closes the connection.
 class StubBackend {
  public:
-  using Response = std::function<std::string(const HttpMessage&, TestConnection&)>;
-  explicit StubBackend(Response answer)
-      : server_([this, answer = std::move(answer)](TestConnection& connection) {
+  using Responder = std::function<std::string(const HttpMessage&, TestConnection&)>;
+  explicit StubBackend(Responder respond)
+      : server_([this, respond = std::move(respond)](TestConnection& connection) {
           for (;;) {
             HttpMessage request = connection.Read();
             if (!request.complete) return;
@@ -31,7 +31,7 @@
               requests_.push_back(request);
             }
             requests.Add();
-            std::string text = answer(request, connection);
+            std::string text = respond(request, connection);
             if (text.empty()) return;
             connection.Write(text);
           }
@@ -50,14 +50,14 @@
   StubServer server_;
 };
 
-// Answers every request by the same text.
-inline StubBackend::Response RespondsWith(const std::string& text) {
+// Answers every request with the same text.
+inline StubBackend::Responder RespondsWith(const std::string& text) {
   return [text](const HttpMessage&, TestConnection&) { return text; };
 }
-// Answers nothing. Reports to `given_up` when the gateway has closed the attempt's connection.
-inline StubBackend::Response NeverResponds(Event* given_up) {
-  return [given_up](const HttpMessage&, TestConnection& connection) {
-    if (connection.AwaitEnd()) given_up->Add();
+// Answers no request. Adds to `closed` when the gateway has closed the connection of the attempt.
+inline StubBackend::Responder NeverResponds(Event* closed) {
+  return [closed](const HttpMessage&, TestConnection& connection) {
+    if (connection.AwaitEnd()) closed->Add();
     return std::string();
   };
 }
--- a/tests/support/stub_counter.h
+++ b/tests/support/stub_counter.h
@@ -1,4 +1,4 @@
-// The usage counter as a test wishes it.
+// A counter whose replies the test chooses.
 #ifndef GATEWAY_TESTS_SUPPORT_STUB_COUNTER_H_
 #define GATEWAY_TESTS_SUPPORT_STUB_COUNTER_H_
 
@@ -16,13 +16,13 @@
 
 namespace gateway::test_support {
 
-// The usage counter: answers one call after another by `answer(name, amount)`, on the connection's thread; an
-// empty text answers nothing.
+// Answers each call with the text that `respond(name, amount)` returns; an empty text leaves the call without
+// a reply. `respond` is called on the connection's thread, for one call of a connection after the other.
 class StubCounter {
  public:
-  using Response = std::function<std::string(const std::string&, double)>;
-  explicit StubCounter(Response answer)
-      : answer_(std::move(answer)), server_([this](TestConnection& connection) {
+  using Responder = std::function<std::string(const std::string&, double)>;
+  explicit StubCounter(Responder respond)
+      : respond_(std::move(respond)), server_([this](TestConnection& connection) {
           while (AnswerCall(connection)) {
           }
         }) {}
@@ -32,29 +32,29 @@
   Event calls;
 
  private:
-  // False at the connection's end.
+  // Returns false if the connection has ended.
   bool AnswerCall(TestConnection& connection) {
-    std::vector<std::string> parts;
-    if (!ReadCall(connection, &parts)) return false;
-    EXPECT_EQ(parts.size(), 4u);
-    EXPECT_LE(parts[1].size(), 64u);
+    std::vector<std::string> arguments;
+    if (!ReadCall(connection, &arguments)) return false;
+    EXPECT_EQ(arguments.size(), 4u);
+    EXPECT_LE(arguments[1].size(), 64u);
     calls.Add();
-    connection.Write(answer_(parts[1], std::atof(parts[2].c_str())));
+    connection.Write(respond_(arguments[1], std::atof(arguments[2].c_str())));
     return true;
   }
-  // A call is a RESP2 array of bulk strings.
-  static bool ReadCall(TestConnection& connection, std::vector<std::string>* parts) {
-    std::string first;
-    if (!Line(connection, &first)) return false;
-    for (int i = 0; i < std::atoi(first.c_str() + 1); ++i) {
-      std::string size, part;
-      if (!Line(connection, &size) || !Line(connection, &part)) return false;
-      EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), part.size());
-      parts->push_back(part);
+  // Reads a call, which is a RESP2 array of bulk strings.
+  static bool ReadCall(TestConnection& connection, std::vector<std::string>* arguments) {
+    std::string header;
+    if (!ReadLine(connection, &header)) return false;
+    for (int i = 0; i < std::atoi(header.c_str() + 1); ++i) {
+      std::string size, argument;
+      if (!ReadLine(connection, &size) || !ReadLine(connection, &argument)) return false;
+      EXPECT_EQ(static_cast<size_t>(std::atoi(size.c_str() + 1)), argument.size());
+      arguments->push_back(argument);
     }
     return true;
   }
-  static bool Line(TestConnection& connection, std::string* line) {
+  static bool ReadLine(TestConnection& connection, std::string* line) {
     size_t end;
     while ((end = connection.unread.find("\r\n")) == std::string::npos) {
       if (!connection.Receive()) return false;
@@ -63,11 +63,11 @@
     connection.unread.erase(0, end + 2);
     return true;
   }
-  Response answer_;
+  Responder respond_;
   StubServer server_;
 };
 
-// A reply with the text as a RESP2 bulk string.
+// Returns a reply that holds the text as a RESP2 bulk string.
 inline std::string BulkString(const std::string& text) {
   return "$" + std::to_string(text.size()) + "\r\n" + text + "\r\n";
 }
--- a/tests/support/stub_discovery.h
+++ b/tests/support/stub_discovery.h
@@ -1,4 +1,4 @@
-// Discovery as a test wishes it.
+// A discovery agent whose endpoint lists the test chooses.
 #ifndef GATEWAY_TESTS_SUPPORT_STUB_DISCOVERY_H_
 #define GATEWAY_TESTS_SUPPORT_STUB_DISCOVERY_H_
 
@@ -19,7 +19,7 @@
 
 using nlohmann::json;
 
-// An endpoint as it stands in a list.
+// Returns the entry of an endpoint in an endpoint list.
 inline json EndpointEntry(const std::string& name, int port, const std::string& status = "active") {
   return {{"name", name},  {"address", "127.0.0.1:" + std::to_string(port)},
           {"zone", "a"},   {"type", "std"},
@@ -27,27 +27,27 @@
           {"weight", 1.0}, {"since_ms", 0}};
 }
 
-// Discovery's agent: answers a poll by the full endpoint list, and each watch when the list has changed
-// since.
+// Answers a poll with the full endpoint list, and a watch as soon as the list is newer than the index that
+// the watch names.
 class StubDiscovery {
  public:
   StubDiscovery()
       : server_([this](TestConnection& connection) {
           for (;;) {
-            HttpMessage ask = connection.Read();
-            if (!ask.complete) return;
-            size_t at = ask.head.find("after=");
-            long after = at == std::string::npos ? -1 : std::atol(ask.head.c_str() + at + 6);
+            HttpMessage request = connection.Read();
+            if (!request.complete) return;
+            size_t after_at = request.head.find("after=");
+            long after = after_at == std::string::npos ? -1 : std::atol(request.head.c_str() + after_at + 6);
             std::unique_lock lock(mutex_);
             polls.Add();
             if (after >= 0) watches_[after].Add();
             changed_.wait(lock, [&] { return stopping_ || (!silent_ && index_ > after); });
             if (stopping_) return;
             std::string text = json{{"index", index_},
-                                    {"snapshot", snapshot_ || after < 0},
-                                    {"endpoints", after < 0 ? whole_ : entries_}}
+                                    {"snapshot", watch_gets_full_list_ || after < 0},
+                                    {"endpoints", after < 0 ? full_list_ : watch_entries_}}
                                    .dump();
-            if (!garbage_.empty()) text = std::exchange(garbage_, "");
+            if (!invalid_body_.empty()) text = std::exchange(invalid_body_, "");
             connection.Write(OkResponse(text));
           }
         }) {}
@@ -59,14 +59,15 @@
     }
     server_.Stop();
   }
-  // The next list. With `snapshot` watches get all of `entries`, else `entries` are the changes that make up
-  // `whole`. `garbage`, if any, is the body of the next answer in place of a list.
-  void Set(json entries, bool snapshot = true, const json& whole = {}, std::string garbage = "") {
+  // Sets the next list. With `snapshot`, `entries` is the full list. Otherwise watches get `entries` as
+  // changes and polls get `full_list`. If `invalid_body` is not empty, the next response has it in place of a
+  // list.
+  void Set(json entries, bool snapshot = true, const json& full_list = {}, std::string invalid_body = "") {
     std::lock_guard lock(mutex_);
-    whole_ = snapshot ? entries : whole;
-    entries_ = std::move(entries);
-    snapshot_ = snapshot;
-    garbage_ = std::move(garbage);
+    full_list_ = snapshot ? entries : full_list;
+    watch_entries_ = std::move(entries);
+    watch_gets_full_list_ = snapshot;
+    invalid_body_ = std::move(invalid_body);
     ++index_;
     changed_.notify_all();
   }
@@ -76,7 +77,8 @@
     silent_ = silent;
     changed_.notify_all();
   }
-  // Waits until the gateway has applied the list as set last: it watches for what comes after that.
+  // Waits until the gateway has applied the list that was set last, that is, until it watches for the next
+  // one.
   bool AwaitApplied() {
     std::unique_lock lock(mutex_);
     Event& event = watches_[index_];
@@ -84,15 +86,15 @@
     return event.Wait();
   }
   int port() const { return server_.port(); }
-  Event polls;  // polls and watches
+  Event polls;  // polls and watches received
 
  private:
   std::mutex mutex_;
   std::condition_variable changed_;
-  bool stopping_ = false, silent_ = false, snapshot_ = true;
+  bool stopping_ = false, silent_ = false, watch_gets_full_list_ = true;
   long index_ = 0;
-  json entries_ = json::array(), whole_ = json::array();
-  std::string garbage_;
+  json watch_entries_ = json::array(), full_list_ = json::array();
+  std::string invalid_body_;
   std::map<long, Event> watches_;
   StubServer server_;
 };
--- a/tests/support/stub_server.h
+++ b/tests/support/stub_server.h
@@ -1,4 +1,4 @@
-// A TCP server of the test's own.
+// A TCP server that runs in the test process.
 #ifndef GATEWAY_TESTS_SUPPORT_STUB_SERVER_H_
 #define GATEWAY_TESTS_SUPPORT_STUB_SERVER_H_
 
@@ -19,28 +19,28 @@
 
 namespace gateway::test_support {
 
-// Accepts connections on a free loopback port and runs `handler` for each, on a thread of its own. The
-// connection ends when the handler returns.
+// Accepts connections on a free loopback port and runs `handler` for each one on a separate thread. The
+// connection is shut down when the handler returns.
 class StubServer {
  public:
   using Handler = std::function<void(TestConnection&)>;
   explicit StubServer(Handler handler) : handler_(std::move(handler)) {
-    sockaddr_in at;
-    fd_ = OpenLoopbackSocket(&at, 0);
-    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+    sockaddr_in address;
+    fd_ = OpenLoopbackSocket(&address, 0);
+    EXPECT_EQ(bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
     EXPECT_EQ(listen(fd_, 256), 0);
-    socklen_t size = sizeof(at);
-    getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
-    port_ = ntohs(at.sin_port);
-    accepting_ = std::thread([this] {
+    socklen_t size = sizeof(address);
+    getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
+    port_ = ntohs(address.sin_port);
+    accept_thread_ = std::thread([this] {
       for (;;) {
         int fd = accept(fd_, nullptr, nullptr);
         if (fd < 0) return;
         std::lock_guard lock(mutex_);
         if (stopping_) return void(close(fd));
         ++connections;
-        accepted_.push_back(std::make_unique<TestConnection>(fd));
-        threads_.emplace_back([this, connection = accepted_.back().get()] {
+        accepted_connections_.push_back(std::make_unique<TestConnection>(fd));
+        handler_threads_.emplace_back([this, connection = accepted_connections_.back().get()] {
           handler_(*connection);
           connection->Stop();
         });
@@ -48,34 +48,34 @@
     });
   }
   ~StubServer() { Stop(); }
-  // Ends all connections and waits for their handlers.
+  // Shuts down all connections and waits for their handlers.
   void Stop() {
     if (fd_ < 0) return;
     {
       std::lock_guard lock(mutex_);
       stopping_ = true;
-      for (auto& connection : accepted_) connection->Stop();
+      for (auto& connection : accepted_connections_) connection->Stop();
     }
     shutdown(fd_, SHUT_RDWR);
-    accepting_.join();
-    for (auto& thread : threads_) thread.join();
+    accept_thread_.join();
+    for (auto& thread : handler_threads_) thread.join();
     close(fd_);
     fd_ = -1;
   }
   int port() const { return port_; }
-  std::atomic<int> connections{0};  // accepted so far
+  std::atomic<int> connections{0};  // number of connections accepted so far
 
  private:
   Handler handler_;
   int fd_ = -1, port_ = 0;
   std::mutex mutex_;
   bool stopping_ = false;
-  std::vector<std::unique_ptr<TestConnection>> accepted_;
-  std::vector<std::thread> threads_;
-  std::thread accepting_;
+  std::vector<std::unique_ptr<TestConnection>> accepted_connections_;
+  std::vector<std::thread> handler_threads_;
+  std::thread accept_thread_;
 };
 
-// A port where nothing listens.
+// Returns a port on which nothing listens.
 inline int UnusedPort() {
   return StubServer([](TestConnection&) {}).port();
 }
