--- a/tests/support/gateway_config_json.h
+++ b/tests/support/gateway_config_json.h
@@ -1,4 +1,4 @@
-// The configuration that the gateways of the socket tests are started with.
+// Configurations with which the tests start gateway processes.
 #ifndef GATEWAY_TESTS_SUPPORT_GATEWAY_CONFIG_JSON_H_
 #define GATEWAY_TESTS_SUPPORT_GATEWAY_CONFIG_JSON_H_
 
@@ -9,18 +9,31 @@
 
 using nlohmann::json;
 
-// The settings of a deployment with three request classes and two plans.
+// Returns the settings of a deployment with three request classes and two plans.
 inline json SettingsJson() {
-  auto cls = [](const char* name, const char* effect, double aim, double limit) {
-    return json{{"name", name},          {"effect", effect},     {"aim-s", aim},
-                {"hard-limit-s", limit}, {"window-s", 3.0},      {"importance", 1.0},
-                {"late-share", 0.0},     {"dedup-scope", "all"}, {"streamed", false}};
+  auto request_class = [](const char* name, const char* effect, double latency_objective_s,
+                          double deadline_s) {
+    return json{{"name", name},
+                {"effect", effect},
+                {"aim-s", latency_objective_s},
+                {"hard-limit-s", deadline_s},
+                {"window-s", 3.0},
+                {"importance", 1.0},
+                {"late-share", 0.0},
+                {"dedup-scope", "all"},
+                {"streamed", false}};
   };
-  auto plan = [](const char* name, double rate, double store, int parallel) {
-    return json{{"name", name},           {"units-per-s", rate},  {"store-size", store},
-                {"never-over-rate", 0.0}, {"ceiling-burst", 0.0}, {"cap-slack", 0.0},
-                {"excess-worth", 0.0},    {"over-cost", 0.8},     {"value-factor", 1.0},
-                {"parallel", parallel}};
+  auto plan = [](const char* name, double rate_units_per_s, double burst_units, int concurrency_quota) {
+    return json{{"name", name},
+                {"units-per-s", rate_units_per_s},
+                {"store-size", burst_units},
+                {"never-over-rate", 0.0},
+                {"ceiling-burst", 0.0},
+                {"cap-slack", 0.0},
+                {"excess-worth", 0.0},
+                {"over-cost", 0.8},
+                {"value-factor", 1.0},
+                {"parallel", concurrency_quota}};
   };
   return {{"me", 0},
           {"peers-total", 2},
@@ -48,33 +61,36 @@
             {"ask-within-s", 10.0},
             {"drain-grace-s", 0.5}}},
           {"request-classes",
-           {cls("quote", "free", 1.2, 3.0), cls("save-scenario", "guarded", 0.4, 1.5),
-            cls("send-lead", "single_shot", 0.8, 2.5)}},
+           {request_class("quote", "free", 1.2, 3.0), request_class("save-scenario", "guarded", 0.4, 1.5),
+            request_class("send-lead", "single_shot", 0.8, 2.5)}},
           {"tiers-of-service", {plan("business", 12, 32, 0), plan("small", 1, 2, 0)}}};
 }
 
-// A gateway's configuration file, by the ports of its discovery and counter; `known` are the endpoints of its
-// cached list.
-inline json ConfigJson(int discovery, int counter, const json& known = {}) {
-  auto at = [](int port) { return "127.0.0.1:" + std::to_string(port); };
-  return {
-      {"name", "n0"},
-      {"listen", at(0)},
-      {"discovery", at(discovery)},
-      {"counter", at(counter)},
-      {"seed", "8c1f30d27a5be964"},
-      {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
-      {"known", {{"index", 0}, {"snapshot", true}, {"endpoints", known.is_array() ? known : json::array()}}},
-      {"settings", SettingsJson()}};
+// Returns a gateway's configuration. `discovery_port` and `counter_port` are loopback ports, and
+// `cached_endpoints` is the content of the cached endpoint list.
+inline json ConfigJson(int discovery_port, int counter_port, const json& cached_endpoints = {}) {
+  auto address = [](int port) { return "127.0.0.1:" + std::to_string(port); };
+  return {{"name", "n0"},
+          {"listen", address(0)},
+          {"discovery", address(discovery_port)},
+          {"counter", address(counter_port)},
+          {"seed", "8c1f30d27a5be964"},
+          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 1024}}},
+          {"known",
+           {{"index", 0},
+            {"snapshot", true},
+            {"endpoints", cached_endpoints.is_array() ? cached_endpoints : json::array()}}},
+          {"settings", SettingsJson()}};
 }
 
-// The same without cancellation, and with such long limits that nothing ends by its time within a test.
-inline json ConfigWithoutCancellation(int discovery, int counter) {
-  json config = ConfigJson(discovery, counter);
+// Like ConfigJson, but without cancellation, and with timeouts and deadlines that do not expire during a
+// test.
+inline json ConfigWithoutCancellation(int discovery_port, int counter_port) {
+  json config = ConfigJson(discovery_port, counter_port);
   config["settings"]["limits"]["cancel"] = false;
   config["settings"]["limits"]["connect-timeout-s"] = 20.0;
   config["settings"]["specifics"]["counter-timeout-s"] = 5.0;
-  for (json& cls : config["settings"]["request-classes"]) cls["hard-limit-s"] = 60.0;
+  for (json& request_class : config["settings"]["request-classes"]) request_class["hard-limit-s"] = 60.0;
   return config;
 }
 
--- a/tests/support/gateway_fixture.h
+++ b/tests/support/gateway_fixture.h
@@ -1,5 +1,6 @@
-// What the tests of a gateway process share: the process, and the servers it talks to, on free loopback
-// ports. Everything waits for events and never for a time, with limits far above what any of them takes.
+// The fixture for tests of a gateway process: the process and stubs of the servers that it calls, on free
+// loopback ports. The fixture waits for events rather than for fixed times, and its timeouts are far longer
+// than any event takes.
 #ifndef GATEWAY_TESTS_SUPPORT_GATEWAY_FIXTURE_H_
 #define GATEWAY_TESTS_SUPPORT_GATEWAY_FIXTURE_H_
 
@@ -26,15 +27,16 @@
 
 using nlohmann::json;
 
-// A gateway process that has applied the given endpoint list, among a discovery and a counter that answer.
+// Starts a gateway process together with a discovery and a counter that answer, and waits until the gateway
+// has applied the given endpoint list.
 struct GatewayFixture {
-  explicit GatewayFixture(const json& entries, json config = {}, const char* program = API_GATEWAY,
-                          rlim_t descriptors = 0) {
-    discovery.Set(entries);
+  explicit GatewayFixture(const json& endpoints, json config = {}, const char* program = API_GATEWAY,
+                          rlim_t max_descriptors = 0) {
+    discovery.Set(endpoints);
     if (!config.is_object()) config = ConfigJson(0, 0);
     config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
     config["counter"] = "127.0.0.1:" + std::to_string(counter.port());
-    gateway = std::make_unique<GatewayProcess>(config, program, descriptors);
+    gateway = std::make_unique<GatewayProcess>(config, program, max_descriptors);
     EXPECT_NE(gateway->port, 0) << gateway->first_line;
     EXPECT_TRUE(discovery.AwaitApplied());
   }
--- a/tests/support/gateway_process.h
+++ b/tests/support/gateway_process.h
@@ -1,4 +1,4 @@
-// The gateway as a process of its own.
+// Runs the gateway as a child process.
 #ifndef GATEWAY_TESTS_SUPPORT_GATEWAY_PROCESS_H_
 #define GATEWAY_TESTS_SUPPORT_GATEWAY_PROCESS_H_
 
@@ -30,20 +30,21 @@
 
 using nlohmann::json;
 
-// Whether the log of a gateway process is read while it runs.
+// Which part of a gateway's log is read while the process runs.
 enum class LogReading {
   kAll,
-  kFirstLine,  // of a pipe of the least size; the rest when the process has ended
+  kFirstLine,  // the pipe has the minimum size; ReadLogUntil() and AwaitExit() read the rest
 };
 
-// A gateway process on a free port. On destruction it gets SIGTERM and must exit with 0.
+// A gateway process that listens on a free port. The destructor sends SIGTERM and expects exit status 0.
 class GatewayProcess {
  public:
-  // `descriptors`: the limit on open files; 0 leaves it as it is. Returns when the first log line is there.
-  explicit GatewayProcess(const json& config, const char* program = API_GATEWAY, rlim_t descriptors = 0,
+  // Returns as soon as the first log line has been read. `max_descriptors` limits the open files of the
+  // process; 0 keeps the limit of the test.
+  explicit GatewayProcess(const json& config, const char* program = API_GATEWAY, rlim_t max_descriptors = 0,
                           LogReading reading = LogReading::kAll)
-      : GatewayProcess(config.dump(), program, descriptors, reading) {}
-  GatewayProcess(const std::string& config, const char* program, rlim_t descriptors,
+      : GatewayProcess(config.dump(), program, max_descriptors, reading) {}
+  GatewayProcess(const std::string& config, const char* program, rlim_t max_descriptors,
                  LogReading reading = LogReading::kAll)
       : configuration_(config) {
     int ends[2];
@@ -56,8 +57,8 @@
       dup2(ends[1], 2);
       for (int fd = 3; fd < 1024; ++fd) close(fd);
       setenv("LB_CONFIG", configuration_.path().c_str(), 1);
-      rlimit limit{descriptors, descriptors};
-      if (descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
+      rlimit limit{max_descriptors, max_descriptors};
+      if (max_descriptors > 0) setrlimit(RLIMIT_NOFILE, &limit);
       execl(program, program, static_cast<char*>(nullptr));
       _exit(127);
     }
@@ -68,7 +69,7 @@
     size_t colon = first_line.rfind(':');
     if (first_line.rfind("gateway_listening ", 0) == 0) port = std::atoi(first_line.c_str() + colon + 1);
     if (reading == LogReading::kAll)
-      log_reader_ = std::thread([this] { ReadLog(); });  // or its pipe fills up
+      log_reader_ = std::thread([this] { ReadLog(); });  // keeps the pipe from filling up
   }
   ~GatewayProcess() {
     if (pid_ > 0) {
@@ -76,7 +77,8 @@
       EXPECT_EQ(AwaitExit(), 0);
     }
   }
-  // Reads the log, of which only the first line was read, until it has `text`. False if that does not come.
+  // Reads the log until it contains `text`. Requires LogReading::kFirstLine. Returns false if the log ends
+  // or nothing is written to it for kWaitTimeoutS.
   bool ReadLogUntil(const std::string& text) {
     pollfd more{log_fd_, POLLIN, 0};
     while (log.find(text) == std::string::npos) {
@@ -86,14 +88,14 @@
   }
   void Signal(int signal) { kill(pid_, signal); }
   pid_t pid() const { return pid_; }
-  // Replaces the configuration file in one step and sends SIGHUP.
+  // Replaces the configuration file atomically and sends SIGHUP.
   void Reload(const std::string& config) {
-    std::string fresh = configuration_.path() + ".new";
-    std::ofstream(fresh) << config;
-    EXPECT_EQ(rename(fresh.c_str(), configuration_.path().c_str()), 0);
+    std::string new_path = configuration_.path() + ".new";
+    std::ofstream(new_path) << config;
+    EXPECT_EQ(rename(new_path.c_str(), configuration_.path().c_str()), 0);
     Signal(SIGHUP);
   }
-  // Waits for the process to end. Its exit status, or the negative number of the signal that ended it.
+  // Waits for the process to end. Returns its exit status, or the negated number of the signal that ended it.
   int AwaitExit() {
     int status = 0;
     waitpid(pid_, &status, 0);
@@ -103,19 +105,20 @@
     close(log_fd_);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
-  // Sends the signals in turn, one each millisecond, until the process has ended; returns as AwaitExit.
+  // Sends the signals in turn, one per millisecond, until the process has ended. Returns the same value as
+  // AwaitExit().
   int SignalUntilExit(const std::vector<int>& signals) {
     size_t sent = 0;
     siginfo_t ended{};
     while (ended.si_pid == 0) {
       Signal(signals[sent++ % signals.size()]);
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
-      // Looked at without being reaped, so that the process keeps its id until the last signal is sent.
+      // WNOWAIT does not reap the process, so that its id stays valid until the last signal has been sent.
       waitid(P_PID, static_cast<id_t>(pid_), &ended, WEXITED | WNOHANG | WNOWAIT);
     }
     return AwaitExit();
   }
-  // The most memory that was resident so far, in MB. 0 under a sanitizer, whose own memory would count.
+  // Returns the peak resident memory in MB, or 0 under a sanitizer, whose own memory would be included.
   double PeakResidentMb() const {
 #ifdef __SANITIZE_ADDRESS__
     return 0;
@@ -126,15 +129,16 @@
     }
     return 0;
   }
-  // The sockets and pipes above standard error on which a read or a write may wait, as /proc names them.
+  // Returns the sockets and pipes, other than the standard streams, that are not in non-blocking mode, as
+  // named in /proc.
   std::vector<std::string> BlockingSocketsAndPipes() const {
     std::filesystem::path process = std::filesystem::path("/proc") / std::to_string(pid_);
     std::vector<std::string> blocking;
-    int looked_at = 0;
+    int checked = 0;
     for (const auto& entry : std::filesystem::directory_iterator(process / "fd")) {
       std::filesystem::path descriptor = entry.path().filename();
-      std::error_code closed_meanwhile;
-      std::string target = std::filesystem::read_symlink(entry.path(), closed_meanwhile);
+      std::error_code closed_concurrently;
+      std::string target = std::filesystem::read_symlink(entry.path(), closed_concurrently);
       bool waits_for_peer = target.rfind("socket:", 0) == 0 || target.rfind("pipe:", 0) == 0;
       if (!waits_for_peer || std::stoi(descriptor) <= STDERR_FILENO) continue;
       std::ifstream info(process / "fdinfo" / descriptor);
@@ -142,19 +146,19 @@
       while (info >> key && key != "flags:") {
       }
       long flags = 0;
-      if (!(info >> std::oct >> flags)) continue;  // closed meanwhile
-      ++looked_at;
+      if (!(info >> std::oct >> flags)) continue;  // closed concurrently
+      ++checked;
       if ((flags & O_NONBLOCK) == 0) blocking.push_back(target);
     }
-    EXPECT_GT(looked_at, 0);
+    EXPECT_GT(checked, 0);
     return blocking;
   }
   std::unique_ptr<TestConnection> Connect() const { return TestConnection::ConnectTo(port); }
-  int port = 0;                 // that it listens on; 0 where it did not start
-  std::string first_line, log;  // the first line of the log; after AwaitExit the others
+  int port = 0;                 // port that the gateway listens on, or 0 if it did not start
+  std::string first_line, log;  // the first log line; all others once AwaitExit() has returned
 
  private:
-  // Waits for more of the log. False at its end, that is, when the process has ended.
+  // Waits for the next part of the log. Returns false at its end, which means that the process has ended.
   bool ReadLogPart() {
     char part[4096];
     ssize_t n = read(log_fd_, part, sizeof(part));
--- a/tests/support/gateway_start.h
+++ b/tests/support/gateway_start.h
@@ -1,5 +1,5 @@
-// The gateway as a process whose start is what a test is about: its standard error, its environment and what
-// is done in the process before the program runs are the test's to choose.
+// Runs the gateway as a child process for tests of its start. The test chooses the standard error and the
+// environment of the process, and what it does before it executes the program.
 #ifndef GATEWAY_TESTS_SUPPORT_GATEWAY_START_H_
 #define GATEWAY_TESTS_SUPPORT_GATEWAY_START_H_
 
@@ -29,17 +29,18 @@
 struct GatewayStartOptions {
   const char* program = API_GATEWAY;
   int standard_error = STDERR_FILENO;
-  std::vector<std::string> environment;  // NAME=value, beside the test's own variables
-  // Called in the process before it runs the program. Only async-signal-safe functions may be called.
+  std::vector<std::string> environment;  // NAME=value, in addition to the variables of the test
+  // Called in the child process before it executes the program. May only call async-signal-safe functions.
   std::function<void()> before_program;
 };
 
-// A process that runs the gateway's program. Killed on destruction if it has not ended by then.
+// A process that runs a gateway program. The destructor kills it if it has not ended.
 class GatewayStart {
  public:
-  static constexpr int kDidNotEnd = -1000;  // AwaitExit's result for a process that had to be killed
+  static constexpr int kDidNotExit = -1000;  // returned by AwaitExit() if the process had to be killed
 
-  // Returns when the process runs the program. It has none of the test's other descriptors then.
+  // Returns as soon as the process executes the program. The process inherits no descriptor of the test
+  // except the standard streams.
   GatewayStart(const std::string& configuration_path, const GatewayStartOptions& options) {
     std::vector<std::string> variables = options.environment;
     variables.push_back("LB_CONFIG=" + configuration_path);
@@ -50,7 +51,7 @@
     environment.push_back(nullptr);
     std::string program = options.program;
     char* arguments[] = {program.data(), nullptr};
-    int ends[2];  // the writer is closed by the program's start
+    int ends[2];  // the write end is closed when the program is executed
     EXPECT_EQ(pipe2(ends, O_CLOEXEC), 0);
     pid_ = fork();
     if (pid_ == 0) {
@@ -64,8 +65,8 @@
       _exit(127);
     }
     close(ends[1]);
-    char none;
-    EXPECT_EQ(read(ends[0], &none, 1), 0);
+    char byte;
+    EXPECT_EQ(read(ends[0], &byte, 1), 0);
     close(ends[0]);
   }
   ~GatewayStart() {
@@ -78,20 +79,21 @@
 
   pid_t pid() const { return pid_; }
   void Signal(int signal) const { kill(pid_, signal); }
-  // Waits for the process to end. Its exit status, or the negative number of the signal that ended it.
+  // Waits for the process to end. Returns its exit status, or the negated number of the signal that ended it.
   int AwaitExit() {
-    bool ended = AwaitEnd();
-    if (!ended) Signal(SIGKILL);
+    bool exited = WaitUntilExited();
+    if (!exited) Signal(SIGKILL);
     int status = 0;
     waitpid(pid_, &status, 0);
     pid_ = -1;
-    if (!ended) return kDidNotEnd;
+    if (!exited) return kDidNotExit;
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   }
-  // Waits until the gateway listens, and connects to it. Null where it does not come to listen.
+  // Waits until the gateway listens and connects to it. Returns null if the process ends before that or does
+  // not listen within kWaitTimeoutS.
   std::unique_ptr<TestConnection> Connect() const {
-    auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
-    while (!HasEnded() && std::chrono::steady_clock::now() < limit) {
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
+    while (!HasExited() && std::chrono::steady_clock::now() < deadline) {
       int port = ListeningPort();
       if (port != 0) return TestConnection::ConnectTo(port);
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -100,20 +102,20 @@
   }
 
  private:
-  bool HasEnded() const {
-    siginfo_t ended{};
-    waitid(P_PID, static_cast<id_t>(pid_), &ended, WEXITED | WNOHANG | WNOWAIT);
-    return ended.si_pid != 0;
+  bool HasExited() const {
+    siginfo_t exited{};
+    waitid(P_PID, static_cast<id_t>(pid_), &exited, WEXITED | WNOHANG | WNOWAIT);
+    return exited.si_pid != 0;
   }
-  bool AwaitEnd() const {
+  bool WaitUntilExited() const {
     int descriptor = static_cast<int>(syscall(SYS_pidfd_open, pid_, 0));
     EXPECT_GE(descriptor, 0);
-    pollfd end{descriptor, POLLIN, 0};
-    bool ended = poll(&end, 1, kWaitTimeoutS * 1000) == 1;
+    pollfd process{descriptor, POLLIN, 0};
+    bool exited = poll(&process, 1, kWaitTimeoutS * 1000) == 1;
     close(descriptor);
-    return ended;
+    return exited;
   }
-  // The port of the process's listening socket; 0 while it has none.
+  // Returns the port of the process's listening socket, or 0 if it has none.
   int ListeningPort() const {
     std::set<std::string> sockets = Sockets();
     for (const TcpSocket& socket : TcpTable()) {
@@ -128,8 +130,8 @@
     std::error_code error;
     std::filesystem::directory_iterator descriptors("/proc/" + std::to_string(pid_) + "/fd", error);
     for (; !error && descriptors != std::filesystem::directory_iterator(); descriptors.increment(error)) {
-      std::error_code closed;
-      sockets.insert(std::filesystem::read_symlink(descriptors->path(), closed).string());
+      std::error_code closed_concurrently;
+      sockets.insert(std::filesystem::read_symlink(descriptors->path(), closed_concurrently).string());
     }
     return sockets;
   }
