--- a/tests/support/controlled_clock.cpp
+++ b/tests/support/controlled_clock.cpp
@@ -1,6 +1,6 @@
-// A library that is preloaded into a program under test. It takes the place of the C library's functions
-// that read a clock, and counts calls of epoll_wait, poll and nanosleep (controlled_clock.h). What waits in
-// the kernel for a time (epoll_wait, a timerfd) goes on by the system's clock.
+// A library that is preloaded into a program under test. It replaces the functions of the C library that read
+// a clock, and counts calls of epoll_wait, poll and nanosleep (see controlled_clock.h). Timeouts that expire
+// in the kernel (epoll_wait, timerfd) still follow the system's clock.
 #include "support/controlled_clock.h"
 
 #include <poll.h>
@@ -18,14 +18,14 @@
 constexpr int64_t kNsPerS = 1000000000;
 constexpr int64_t kNsPerUs = 1000;
 
-ControlledClock& Control() {
-  static ControlledClock none{};
-  static ControlledClock* const kControl = [] {
+ControlledClock& SharedClock() {
+  static ControlledClock no_control{};
+  static ControlledClock* const kShared = [] {
     const char* path = std::getenv(gateway::test_support::kControlledClockVariable);
     ControlledClock* mapped = path != nullptr ? gateway::test_support::MapControlledClock(path) : nullptr;
-    return mapped != nullptr ? mapped : &none;
+    return mapped != nullptr ? mapped : &no_control;
   }();
-  return *kControl;
+  return *kShared;
 }
 
 int64_t SystemNs(clockid_t clock) {
@@ -34,15 +34,15 @@
   return now.tv_sec * kNsPerS + now.tv_nsec;
 }
 
-// The time of a clock that began as the system's.
+// Returns the time of a controlled clock. It starts at the system's time.
 int64_t ControlledNs(clockid_t clock) {
   static const int64_t kMonotonicStart = SystemNs(CLOCK_MONOTONIC);
   static const int64_t kRealtimeStart = SystemNs(CLOCK_REALTIME);
-  ControlledClock& control = Control();
-  int64_t passed = control.frozen ? 0 : SystemNs(CLOCK_MONOTONIC) - kMonotonicStart;
-  if (clock == CLOCK_REALTIME) return kRealtimeStart + passed;
-  ++control.monotonic_readings;
-  return kMonotonicStart + passed;
+  ControlledClock& clock_control = SharedClock();
+  int64_t elapsed_ns = clock_control.frozen ? 0 : SystemNs(CLOCK_MONOTONIC) - kMonotonicStart;
+  if (clock == CLOCK_REALTIME) return kRealtimeStart + elapsed_ns;
+  ++clock_control.monotonic_readings;
+  return kMonotonicStart + elapsed_ns;
 }
 
 bool IsControlled(clockid_t clock) { return clock == CLOCK_MONOTONIC || clock == CLOCK_REALTIME; }
@@ -73,19 +73,19 @@
 }
 
 int epoll_wait(int descriptor, epoll_event* events, int size, int timeout_ms) {
-  ++Control().event_loop_waits;
+  ++SharedClock().event_loop_waits;
   return static_cast<int>(syscall(SYS_epoll_pwait, descriptor, events, size, timeout_ms, nullptr, 0));
 }
 
 int poll(pollfd* descriptors, nfds_t size, int timeout_ms) {
-  if (timeout_ms != 0) ++Control().other_timed_waits;
+  if (timeout_ms != 0) ++SharedClock().other_timed_waits;
   timespec timeout{timeout_ms / 1000, timeout_ms % 1000 * 1000000L};
   return static_cast<int>(
       syscall(SYS_ppoll, descriptors, size, timeout_ms < 0 ? nullptr : &timeout, nullptr, 0));
 }
 
 int nanosleep(const timespec* duration, timespec* left) {
-  ++Control().other_timed_waits;
+  ++SharedClock().other_timed_waits;
   return static_cast<int>(syscall(SYS_nanosleep, duration, left));
 }
 
--- a/tests/support/controlled_clock.h
+++ b/tests/support/controlled_clock.h
@@ -1,5 +1,5 @@
-// A clock that a test controls in a process which it starts, and what that process does with it. Shared
-// between both through a file that each maps into its memory.
+// A clock of a child process that the test controls, with counts of the process's clock readings and waits.
+// Both processes map the same file into memory to share it.
 #ifndef GATEWAY_TESTS_SUPPORT_CONTROLLED_CLOCK_H_
 #define GATEWAY_TESTS_SUPPORT_CONTROLLED_CLOCK_H_
 
@@ -12,17 +12,17 @@
 
 namespace gateway::test_support {
 
-// The environment variable that names the file to the process. All zero, it changes nothing.
+// The environment variable with the path of the shared file. A file of zeros leaves the clock as it is.
 inline constexpr char kControlledClockVariable[] = "TEST_CONTROLLED_CLOCK";
 
 struct ControlledClock {
-  std::atomic<bool> frozen;                 // from the process's first reading on
-  std::atomic<int64_t> monotonic_readings;  // how often the process has read CLOCK_MONOTONIC
-  std::atomic<int64_t> event_loop_waits;    // how often it has waited in epoll_wait
-  std::atomic<int64_t> other_timed_waits;   // calls of poll with a time-out, and of nanosleep
+  std::atomic<bool> frozen;                 // keeps the time of the process's first reading
+  std::atomic<int64_t> monotonic_readings;  // number of readings of CLOCK_MONOTONIC
+  std::atomic<int64_t> event_loop_waits;    // number of calls of epoll_wait
+  std::atomic<int64_t> other_timed_waits;   // number of calls of nanosleep, and of poll with a timeout
 };
 
-// Null where the file cannot be mapped.
+// Creates the file if needed. Returns null if it cannot be mapped.
 inline ControlledClock* MapControlledClock(const char* path) {
   int file = open(path, O_RDWR | O_CREAT | O_CLOEXEC, S_IRUSR | S_IWUSR);
   if (file < 0) return nullptr;
--- a/tests/support/event.h
+++ b/tests/support/event.h
@@ -1,4 +1,4 @@
-// An event that the threads of a test wait for.
+// An event on which the threads of a test synchronize.
 #ifndef GATEWAY_TESTS_SUPPORT_EVENT_H_
 #define GATEWAY_TESTS_SUPPORT_EVENT_H_
 
@@ -10,7 +10,7 @@
 
 namespace gateway::test_support {
 
-// A count of occurrences that one thread reports and another waits for.
+// Counts occurrences that any thread reports and any thread can wait for.
 class Event {
  public:
   void Add() {
@@ -18,7 +18,7 @@
     ++count_;
     changed_.notify_all();
   }
-  // Waits until there have been so many. False if they have not come within the limit.
+  // Waits until the event has occurred `at_least` times. Returns false if that takes more than kWaitTimeoutS.
   bool Wait(int at_least = 1) {
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, std::chrono::seconds(kWaitTimeoutS), [&] { return count_ >= at_least; });
--- a/tests/support/event_loop.h
+++ b/tests/support/event_loop.h
@@ -1,4 +1,4 @@
-// An event loop for tests of classes that run in one.
+// An event loop for tests of classes that run in an event loop.
 #ifndef GATEWAY_TESTS_SUPPORT_EVENT_LOOP_H_
 #define GATEWAY_TESTS_SUPPORT_EVENT_LOOP_H_
 
@@ -13,17 +13,17 @@
 
 namespace gateway::test_support {
 
-// A loopback port as an endpoint.
+// Returns the TCP endpoint of a port on the loopback address.
 inline boost::asio::ip::tcp::endpoint LoopbackEndpoint(int port) {
   return {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)};
 }
 
-// An event loop that the test turns itself, one handler at a time.
+// An event loop that only runs while the test calls RunUntil(), one handler at a time.
 struct EventLoop {
-  // Runs handlers until `done()` is true; fails the test where that takes longer than kWaitTimeoutS.
+  // Runs handlers until `done()` returns true. Fails the test if that takes longer than kWaitTimeoutS.
   void RunUntil(const std::function<bool()>& done) {
-    auto end = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
-    while (!done() && std::chrono::steady_clock::now() < end) {
+    auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(kWaitTimeoutS);
+    while (!done() && std::chrono::steady_clock::now() < deadline) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(20));
     }
--- a/tests/support/ready_sockets.h
+++ b/tests/support/ready_sockets.h
@@ -1,4 +1,4 @@
-// Events that keep an event loop busy.
+// Sockets that flood an event loop with events.
 #ifndef GATEWAY_TESTS_SUPPORT_READY_SOCKETS_H_
 #define GATEWAY_TESTS_SUPPORT_READY_SOCKETS_H_
 
@@ -8,8 +8,9 @@
 
 namespace gateway::test_support {
 
-// More sockets that are waited for than an event loop takes from the system at once, so that what becomes
-// ready after them is seen in a later turn of the loop than its timers.
+// Sockets on which an event loop waits. They are more than the event loop retrieves with one epoll_wait, so
+// that a socket that becomes ready after them is only seen in a later iteration, after expired timers have
+// run.
 class ReadySockets {
  public:
   explicit ReadySockets(boost::asio::io_context& io) {
--- a/tests/support/recording_log.h
+++ b/tests/support/recording_log.h
@@ -1,4 +1,4 @@
-// A log that keeps its lines.
+// A log that keeps its lines in memory.
 #ifndef GATEWAY_TESTS_SUPPORT_RECORDING_LOG_H_
 #define GATEWAY_TESTS_SUPPORT_RECORDING_LOG_H_
 
@@ -12,7 +12,7 @@
 class RecordingLog final : public net::Log {
  public:
   void Write(std::string_view line) override { text_ += std::string(line) + "\n"; }
-  // All lines so far, each with its end.
+  // Returns all lines written so far, each terminated by a newline.
   const std::string& str() const { return text_; }
 
  private:
--- a/tests/support/temporary_file.h
+++ b/tests/support/temporary_file.h
@@ -1,4 +1,4 @@
-// A file that a test writes for a program to read.
+// A file that a test writes and a program under test reads.
 #ifndef GATEWAY_TESTS_SUPPORT_TEMPORARY_FILE_H_
 #define GATEWAY_TESTS_SUPPORT_TEMPORARY_FILE_H_
 
@@ -11,7 +11,7 @@
 
 namespace gateway::test_support {
 
-// A file with the text, for as long as the object lives.
+// Creates a file that contains the text. The destructor removes it.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text) {
