--- a/tests/support/slow_exit.cpp
+++ b/tests/support/slow_exit.cpp
@@ -1,5 +1,5 @@
-// Linked into a program, makes the time between the end of main() and the process's exit long enough for a
-// signal to come in it each time.
+// Linked into a program, delays the exit of the process after the end of main(), so that a signal reliably
+// arrives in between.
 #include <chrono>
 #include <thread>
 
--- a/tests/support/system_call_filter.h
+++ b/tests/support/system_call_filter.h
@@ -1,4 +1,4 @@
-// A seccomp filter that a test sets on a process which it starts.
+// A seccomp filter that a test installs in a child process.
 #ifndef GATEWAY_TESTS_SUPPORT_SYSTEM_CALL_FILTER_H_
 #define GATEWAY_TESTS_SUPPORT_SYSTEM_CALL_FILTER_H_
 
@@ -12,16 +12,17 @@
 
 namespace gateway::test_support {
 
-// Rules are asked in the order in which they were added; the first that applies decides.
+// The rules are checked in the order in which they were added, and the first match determines the action.
 class SystemCallFilter {
  public:
   SystemCallFilter() { LoadNumber(); }
-  // Applies to all calls of the number.
+  // Adds a rule that matches all calls with this number.
   void Add(long number, uint32_t action) {
     Jump(static_cast<uint32_t>(number), 1);
     Return(action);
   }
-  // Applies to those whose argument, under the mask, has the value. Its upper half is not looked at.
+  // Adds a rule that matches calls with this number whose masked argument equals `value`. Only the lower 32
+  // bits of the argument are compared.
   void AddIf(long number, int argument, uint32_t mask, uint32_t value, uint32_t action) {
     constexpr uint8_t kRestOfRule = 5;
     Jump(static_cast<uint32_t>(number), kRestOfRule);
@@ -32,10 +33,10 @@
     Return(action);
     LoadNumber();
   }
-  // The last rule: applies to all other calls.
+  // Adds the last rule, which matches all other calls.
   void AddForAllOthers(uint32_t action) { Return(action); }
-  // Sets the filter on the calling process, for good. False where the system does not take it. Safe between
-  // fork and exec.
+  // Installs the filter in the calling process, permanently. Returns false if the system does not accept it.
+  // May be called between fork and exec.
   bool Install() const {
     sock_fprog program{static_cast<unsigned short>(program_.size()),
                        const_cast<sock_filter*>(program_.data())};
--- a/tests/support/unresponsive_policy.cpp
+++ b/tests/support/unresponsive_policy.cpp
@@ -1,5 +1,6 @@
-// A policy that never answers a request, linked in place of the real one: the fault that the gateway's own
-// deadline guards against. Requests with an idempotency key are forwarded once, to the backend listed last.
+// An admission policy that never answers a request, linked in place of the real one. It has the fault against
+// which the gateway's own deadline guards. It forwards each request of the class with an idempotency key
+// once, to the last backend of the endpoint list.
 #include "policy/admission_policy.h"
 
 namespace gateway::policy {
@@ -16,7 +17,7 @@
   if (!endpoints.empty()) impl_->backend_id = endpoints.back().id;
 }
 void AdmissionPolicy::OnRequest(double, const Request& request, Actions* actions) {
-  constexpr int kClassWithIdempotencyKey = 1;  // in the fixture's settings
+  constexpr int kClassWithIdempotencyKey = 1;  // index of save-scenario in SettingsJson()
   if (request.request_class != kClassWithIdempotencyKey) return;
   actions->push_back(ForwardAttempt{request.id, impl_->backend_id, 0});
 }
--- a/tests/support/wire_bytes.h
+++ b/tests/support/wire_bytes.h
@@ -1,4 +1,4 @@
-// Frames of the simulator's wire, written by hand.
+// Builds frames of the simulator's protocol from literal bytes, without the adapter's encoder.
 #ifndef GATEWAY_TESTS_SUPPORT_WIRE_BYTES_H_
 #define GATEWAY_TESTS_SUPPORT_WIRE_BYTES_H_
 
@@ -8,7 +8,7 @@
 
 namespace gateway::test_support {
 
-// The bytes that pairs of lower-case hex digits stand for. Everything between the digits is left out.
+// Returns the bytes that pairs of lower-case hex digits stand for. All other characters are ignored.
 inline std::string Hex(const char* text) {
   std::string bytes;
   int high_digit = -1;
@@ -25,7 +25,7 @@
   return bytes;
 }
 
-// A batch at 18.5 s whose header says that it holds `count` records.
+// Returns a frame with a batch at 18.5 s whose header announces `count` records.
 inline std::string Frame(const std::string& records, uint32_t count) {
   std::string frame(16, '\0');
   auto size = static_cast<uint32_t>(frame.size() + records.size());
