--- a/tests/net/endpoint_list_test.cpp
+++ b/tests/net/endpoint_list_test.cpp
@@ -10,15 +10,17 @@
 
 using namespace test_support;
 
-// Two backends' names have the same hash. With one id for both, one backend would get the other's load and
-// health. They get ids of their own, the same at gateways that list them in different orders.
-TEST(EndpointIds, GivesNamesWithOneHashIdsOfTheirOwn) {
-  net::EndpointIds one([](std::string_view) { return 7u; }), two([](std::string_view) { return 7u; });
+// The names of two backends have the same hash. If both got the same id, the load and health of one backend
+// would be attributed to the other. Each must get its own id, and gateways must agree on the ids even if
+// their lists have different orders.
+TEST(EndpointIds, AssignsDistinctIdsToNamesWithTheSameHash) {
+  net::EndpointIds first_ids([](std::string_view) { return 7u; }),
+      second_ids([](std::string_view) { return 7u; });
   config::DeploymentSettings deployment;
   json ab = {{"index", 1}, {"snapshot", true}, {"endpoints", {EndpointEntry("a", 1), EndpointEntry("b", 2)}}};
   json ba = {{"index", 1}, {"snapshot", true}, {"endpoints", {EndpointEntry("b", 2), EndpointEntry("a", 1)}}};
-  auto first = net::ParseEndpointList(ab, deployment, &one),
-       second = net::ParseEndpointList(ba, deployment, &two);
+  auto first = net::ParseEndpointList(ab, deployment, &first_ids),
+       second = net::ParseEndpointList(ba, deployment, &second_ids);
   EXPECT_NE(first.endpoints[0].endpoint.id, first.endpoints[1].endpoint.id);
   EXPECT_EQ(first.endpoints[0].endpoint.id, second.endpoints[1].endpoint.id);
   EXPECT_EQ(first.endpoints[1].endpoint.id, second.endpoints[0].endpoint.id);
