--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace test_support;
 
-// A server and its clients' connections, in a loop that the test turns.
+// A server in an event loop that the test runs, with a record of the requests that it has received.
 struct ClientServerFixture : EventLoop {
   explicit ClientServerFixture(size_t max_connections = 100,
                                Clock::duration request_timeout = std::chrono::seconds(kWaitTimeoutS))
@@ -37,8 +37,8 @@
     response.body = std::move(body);
     server.Reply(requests.at(request).first, std::move(response));
   }
-  std::vector<std::pair<uint64_t, ClientRequest>> requests;  // each with its connection
-  int clients_left = 0;                                      // whose request was not answered
+  std::vector<std::pair<uint64_t, ClientRequest>> requests;  // each with the id of its connection
+  int clients_left = 0;  // number of clients that have left before their response
   ClientServer server;
 };
 
@@ -46,145 +46,147 @@
   return "POST /x HTTP/1.1\r\nHost: x\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// All places are taken and one more client waits. A client has sent two requests at once; when the first is
-// answered its session is idle for a moment, with the second read and not looked at. If it were evicted to
-// make room, a request that the gateway has received would end without a response.
-TEST(ClientServer, EvictsNoSessionThatHoldsAPipelinedRequest) {
-  ClientServerFixture s(2);
-  auto pipelining = s.Connect(), other = s.Connect();
+// The connection limit is reached and another client waits to be accepted. A client has sent two requests at
+// once. When the first one is answered, its session is idle for a moment while the second one is read but not
+// yet processed. If the session were evicted then, a request that the gateway has received would get no
+// response.
+TEST(ClientServer, DoesNotEvictASessionWithAPipelinedRequest) {
+  ClientServerFixture fixture(2);
+  auto pipelining = fixture.Connect(), other = fixture.Connect();
   pipelining->Write(Post("one") + Post("two"));
-  s.RunUntil([&] { return s.requests.size() == 1; });
+  fixture.RunUntil([&] { return fixture.requests.size() == 1; });
   other->Write(Post("other"));
-  s.RunUntil([&] { return s.requests.size() == 2; });
-  auto waiting = s.Connect();
+  fixture.RunUntil([&] { return fixture.requests.size() == 2; });
+  auto waiting = fixture.Connect();
   waiting->Write(Post("waiting"));
-  s.RunUntil([&] { return !s.server.HasNoConnections(); });
-  s.Reply(0, "first");
+  fixture.RunUntil([&] { return !fixture.server.HasNoConnections(); });
+  fixture.Reply(0, "first");
   EXPECT_EQ(pipelining->Read().body, "first");
-  s.RunUntil([&] { return s.requests.size() == 3; });
-  ASSERT_EQ(s.requests.size(), 3u);
-  EXPECT_EQ(s.requests[2].second.body(), "two");
-  s.Reply(2, "second");
+  fixture.RunUntil([&] { return fixture.requests.size() == 3; });
+  ASSERT_EQ(fixture.requests.size(), 3u);
+  EXPECT_EQ(fixture.requests[2].second.body(), "two");
+  fixture.Reply(2, "second");
   EXPECT_EQ(pipelining->Read().body, "second");
-  s.RunUntil([&] { return s.requests.size() == 4; });  // now there is room
-  EXPECT_EQ(s.requests[3].second.body(), "waiting");
+  fixture.RunUntil([&] { return fixture.requests.size() == 4; });  // the first session can be evicted now
+  EXPECT_EQ(fixture.requests[3].second.body(), "waiting");
 }
 
-// All places are taken when a client connects. One session has an incomplete request, whose last bytes are in
-// its socket but not read yet. If it were evicted a request that the gateway has received would end without a
-// response.
-TEST(ClientServer, EvictsNoRequestWhoseLastBytesAreUnread) {
-  ClientServerFixture s(2);
+// The connection limit is reached when a client connects. One session has an incomplete request, whose last
+// bytes have been received but not read yet. If the session were evicted, a request that the gateway has
+// received would get no response.
+TEST(ClientServer, DoesNotEvictARequestWhoseLastBytesAreUnread) {
+  ClientServerFixture fixture(2);
   std::string request = Post("body");
-  auto incomplete = s.Connect();
+  auto incomplete = fixture.Connect();
   incomplete->Write(request.substr(0, 20));
-  s.RunUntil([&] { return s.server.incomplete_count() == 1; });
-  auto fresh = s.Connect();  // before the rest, so that it is accepted first
+  fixture.RunUntil([&] { return fixture.server.incomplete_count() == 1; });
+  auto new_client = fixture.Connect();  // before the rest is sent, so that it is accepted first
   incomplete->Write(request.substr(20));
-  s.RunUntil([&] { return s.requests.size() == 1 || s.server.incomplete_count() == 0; });
-  ASSERT_EQ(s.requests.size(), 1u);
-  s.Reply(0, "response");
+  fixture.RunUntil([&] { return fixture.requests.size() == 1 || fixture.server.incomplete_count() == 0; });
+  ASSERT_EQ(fixture.requests.size(), 1u);
+  fixture.Reply(0, "response");
   EXPECT_EQ(incomplete->Read().body, "response");
 }
 
-// All places are taken when a client connects. A session whose request is incomplete, and of which nothing is
-// unread, is evicted, and the new client is served.
+// The connection limit is reached when a client connects. A session with an incomplete request and no unread
+// bytes must be evicted, or clients that never complete a request could lock out new ones.
 TEST(ClientServer, EvictsAnIncompleteRequest) {
-  ClientServerFixture s(2);
-  auto incomplete = s.Connect();
+  ClientServerFixture fixture(2);
+  auto incomplete = fixture.Connect();
   incomplete->Write(Post("body").substr(0, 20));
-  s.RunUntil([&] { return s.server.incomplete_count() == 1; });
-  auto fresh = s.Connect();
-  fresh->Write(Post("new"));
-  s.RunUntil([&] { return s.requests.size() == 1; });
+  fixture.RunUntil([&] { return fixture.server.incomplete_count() == 1; });
+  auto new_client = fixture.Connect();
+  new_client->Write(Post("new"));
+  fixture.RunUntil([&] { return fixture.requests.size() == 1; });
   EXPECT_TRUE(incomplete->AwaitEnd());
 }
 
-// The event loop is late: the time for a request to be complete is over when its last bytes are there but not
-// read. They are read first, as the client was in time. A request whose rest has not come is timed out.
-TEST(ClientServer, ReadsUnreadBytesBeforeItTimesOutARequest) {
-  ClientServerFixture s(100, Clock::duration::zero());
-  auto client = s.Connect();
-  client->Write(Post(std::string(20000, 'b')));  // more than one read takes in
-  s.RunUntil([&] { return s.requests.size() == 1 || !client->IsOpen(); });
-  ASSERT_EQ(s.requests.size(), 1u);
-  EXPECT_EQ(s.requests[0].second.body().size(), 20000u);
-  auto incomplete = s.Connect();
+// The event loop is late: the timeout of a request expires while its last bytes are received but unread. The
+// client was in time, so the server must read them before it checks the timeout. A request whose rest has not
+// been received must time out.
+TEST(ClientServer, ReadsUnreadBytesBeforeTimingOutARequest) {
+  ClientServerFixture fixture(100, Clock::duration::zero());
+  auto client = fixture.Connect();
+  client->Write(Post(std::string(20000, 'b')));  // more than one read returns
+  fixture.RunUntil([&] { return fixture.requests.size() == 1 || !client->IsOpen(); });
+  ASSERT_EQ(fixture.requests.size(), 1u);
+  EXPECT_EQ(fixture.requests[0].second.body().size(), 20000u);
+  auto incomplete = fixture.Connect();
   incomplete->Write(Post("body").substr(0, 20));
-  s.RunUntil([&] { return !incomplete->IsOpen(); });
+  fixture.RunUntil([&] { return !incomplete->IsOpen(); });
 }
 
-// A client ends its sending while its response is written by half. That is no sign that it has left: it gets
-// the rest.
+// A client half-closes its connection while its response is partly written. This does not mean that it has
+// left, so it must get the rest of the response.
 TEST(ClientServer, CompletesAResponseAfterTheClientHalfCloses) {
-  ClientServerFixture s;
-  auto client = s.Connect();
+  ClientServerFixture fixture;
+  auto client = fixture.Connect();
   client->Write(Post("x"));
-  s.RunUntil([&] { return s.requests.size() == 1; });
+  fixture.RunUntil([&] { return fixture.requests.size() == 1; });
   std::string body(24 << 20, 'b');
-  s.Reply(0, body);
+  fixture.Reply(0, body);
   client->HalfClose();
-  for (int i = 0; i < 10; ++i) s.io.poll_one();  // the end is seen while the response waits for the socket
-  std::string got;
-  std::thread reader([&] { got = client->Read().body; });
-  s.RunUntil([&] { return s.server.HasNoConnections(); });
+  for (int i = 0; i < 10; ++i) fixture.io.poll_one();  // sees the half-close while the socket is full
+  std::string received_body;
+  std::thread reader([&] { received_body = client->Read().body; });
+  fixture.RunUntil([&] { return fixture.server.HasNoConnections(); });
   reader.join();
-  EXPECT_EQ(got.size(), body.size());
+  EXPECT_EQ(received_body.size(), body.size());
 }
 
-// A head that comes in parts leaves the session's buffer larger than one read needs, so that it is shrunk
-// after the response. Shrinking it while a read into it is pending would lose the next request.
-TEST(ClientServer, KeepsTheNextRequestAfterAHeadInParts) {
-  ClientServerFixture s;
-  auto client = s.Connect();
+// After a head that arrives in parts, the session's buffer is larger than one read needs and is shrunk after
+// the response. If it were shrunk while a read into it is pending, the next request would be lost.
+TEST(ClientServer, KeepsTheNextRequestAfterAHeadThatArrivesInParts) {
+  ClientServerFixture fixture;
+  auto client = fixture.Connect();
   std::string request = Post("one");
   client->Write(request.substr(0, 20));
-  s.RunUntil([&] { return s.server.incomplete_count() == 1; });
+  fixture.RunUntil([&] { return fixture.server.incomplete_count() == 1; });
   client->Write(request.substr(20));
-  s.RunUntil([&] { return s.requests.size() == 1; });
-  s.Reply(0, "first");
+  fixture.RunUntil([&] { return fixture.requests.size() == 1; });
+  fixture.Reply(0, "first");
   EXPECT_EQ(client->Read().body, "first");
-  for (int i = 0; i < 10; ++i) s.io.poll_one();
+  for (int i = 0; i < 10; ++i) fixture.io.poll_one();
   client->Write(Post("two"));
-  s.RunUntil([&] { return s.requests.size() == 2; });
-  EXPECT_EQ(s.requests.at(1).second.body(), "two");
+  fixture.RunUntil([&] { return fixture.requests.size() == 2; });
+  EXPECT_EQ(fixture.requests.at(1).second.body(), "two");
 }
 
-// A client has sent so much ahead of its response that nothing more is read of it, and then leaves. Its end
-// comes after the unread bytes, so that reading would never find it, and its request would be forwarded for
-// nobody.
-TEST(ClientServer, NoticesThatAClientLeftWhoseBufferIsFull) {
+// A client sends so much before its response that the server stops reading, and then leaves. The end of the
+// connection follows the unread bytes, so that reads would never reach it, and the request would be forwarded
+// for a client that has left.
+TEST(ClientServer, DetectsThatAClientHasLeftBehindUnreadBytes) {
   for (bool reset : {false, true}) {
-    ClientServerFixture s;
-    auto client = s.Connect();
+    ClientServerFixture fixture;
+    auto client = fixture.Connect();
     client->Write(Post("in flight"));
-    s.RunUntil([&] { return s.requests.size() == 1; });
+    fixture.RunUntil([&] { return fixture.requests.size() == 1; });
     client->Write(std::string(100000, 'p'));
-    for (int i = 0; i < 100; ++i) s.io.poll_one();
+    for (int i = 0; i < 100; ++i) fixture.io.poll_one();
     if (reset) {
       client->Reset();
     } else {
       client->Close();
     }
-    s.RunUntil([&] { return s.clients_left == 1; });
+    fixture.RunUntil([&] { return fixture.clients_left == 1; });
   }
 }
 
-// Every place is taken by a client that waits for its response when another one connects. Nothing can be
-// evicted then. The first session to be idle again has to make room, or the new client would wait in the
-// accept queue for ever.
-TEST(ClientServer, AcceptsAgainWhenARequestIsAnswered) {
-  ClientServerFixture s(1);
-  auto first = s.Connect();
+// All connections are used by clients that wait for their responses when another client connects, so that no
+// session can be evicted. The first session that becomes idle must be evicted, or the new client would stay
+// in the accept queue forever.
+TEST(ClientServer, AcceptsAgainAfterARequestIsAnswered) {
+  ClientServerFixture fixture(1);
+  auto first = fixture.Connect();
   first->Write(Post("first"));
-  s.RunUntil([&] { return s.requests.size() == 1; });
-  auto second = s.Connect();
+  fixture.RunUntil([&] { return fixture.requests.size() == 1; });
+  auto second = fixture.Connect();
   second->Write(Post("second"));
-  for (int i = 0; i < 100; ++i) s.io.poll_one();
-  s.Reply(0, "x");
-  s.RunUntil([&] { return s.requests.size() == 2; });
+  for (int i = 0; i < 100; ++i) fixture.io.poll_one();
+  fixture.Reply(0, "x");
+  fixture.RunUntil([&] { return fixture.requests.size() == 2; });
   EXPECT_EQ(first->Read().status(), 200);
-  EXPECT_EQ(s.clients_left, 0);
+  EXPECT_EQ(fixture.clients_left, 0);
 }
 
 }  // namespace
--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -1,4 +1,4 @@
-// The counter client, driven directly by an event loop that the test runs.
+// Tests the counter client against a stub counter, in an event loop that the test runs.
 #include "net/counter_client.h"
 
 #include <atomic>
@@ -17,7 +17,7 @@
 
 using namespace test_support;
 
-// A client and the replies that it has given. Its event loop runs within RunUntil() only.
+// A client and the replies that it has reported. Its event loop only runs within RunUntil().
 struct ClientUnderTest {
   ClientUnderTest(int port, double timeout_s)
       : client(io, {boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(port)}, timeout_s, 5,
@@ -32,8 +32,8 @@
   net::CounterClient client;
 };
 
-// A reply comes after its call's time-out, when further calls are in flight on the connection. Taken for the
-// next call's reply it would give a wrong total, and shift every reply after it.
+// A reply arrives after the timeout of its call, while further calls are in flight on the connection. If it
+// were taken for the reply to the next call, that call would get a wrong total, and so would every later one.
 TEST(CounterClient, MatchesLateRepliesToTheirOwnCalls) {
   Event released;
   StubCounter counter([&](const std::string&, double amount) {
@@ -43,7 +43,7 @@
   ClientUnderTest test(counter.port(), 0.5);
   test.client.Call(11, 1, 5);
   test.RunUntil([&] { return test.replies.size() == 1; });
-  EXPECT_EQ(test.replies[0].result, policy::CallResult::kTimeout) << "it may have been added";
+  EXPECT_EQ(test.replies[0].result, policy::CallResult::kTimeout) << "the amount may have been added";
   released.Add();
   for (int i = 0; i < 20; ++i) {
     test.client.Call(20 + i, 2 + i, 5);
@@ -54,16 +54,16 @@
   }
 }
 
-// The counter's address changes while a call is in flight. That call still ends by what the old counter says,
-// and new calls go to the new address at once.
-TEST(CounterClient, SwitchesAddressAndEndsCallsInFlight) {
+// The address of the counter changes while a call is in flight. That call must still get the reply of the
+// previous counter, because its amount is counted there. New calls must go to the new address immediately.
+TEST(CounterClient, SwitchesAddressAndCompletesCallsInFlight) {
   Event released;
-  StubCounter before([&](const std::string&, double) { return released.Wait(), BulkString("7"); });
-  StubCounter after([](const std::string&, double) { return BulkString("9"); });
-  ClientUnderTest test(before.port(), 30);
+  StubCounter previous([&](const std::string&, double) { return released.Wait(), BulkString("7"); });
+  StubCounter next([](const std::string&, double) { return BulkString("9"); });
+  ClientUnderTest test(previous.port(), 30);
   test.client.Call(1, 1, 5);
-  test.RunUntil([&] { return before.calls.count() == 1; });
-  test.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(after.port())});
+  test.RunUntil([&] { return previous.calls.count() == 1; });
+  test.client.SwitchTo({boost::asio::ip::address_v4::loopback(), static_cast<uint16_t>(next.port())});
   test.client.Call(2, 1, 5);
   test.RunUntil([&] { return test.replies.size() == 1; });
   EXPECT_EQ(test.replies[0].key, 2u);
@@ -74,33 +74,35 @@
   EXPECT_EQ(test.replies[1].total, 7);
 }
 
-// Calls fail in three ways: rejected, never connected, and with a connection that ends after they were
-// written. Only the last may have been added; confused, an amount would be counted twice or never.
-TEST(CounterClient, DistinguishesNotAddedFromMaybeAdded) {
-  StubCounter busy([](const std::string&, double) { return std::string("-BUSY\r\n"); });
-  ClientUnderTest rejected(busy.port(), 30);
+// Calls fail in three ways: they are rejected, no connection can be established, or the connection ends after
+// they have been written. Only in the last case, the amount may have been added. If the cases were confused,
+// an amount would be counted twice or not at all.
+TEST(CounterClient, DistinguishesAmountsNotAddedFromAmountsPossiblyAdded) {
+  StubCounter busy_counter([](const std::string&, double) { return std::string("-BUSY\r\n"); });
+  ClientUnderTest rejected(busy_counter.port(), 30);
   rejected.client.Call(1, 1, 5);
   rejected.RunUntil([&] { return rejected.replies.size() == 1; });
   EXPECT_EQ(rejected.replies[0].result, policy::CallResult::kRejected);
 
-  ClientUnderTest refused(UnusedPort(), 30);
-  for (int i = 0; i < 200; ++i) refused.client.Call(i, 1, 5);
-  refused.RunUntil([&] { return refused.replies.size() == 200; });
-  for (const auto& reply : refused.replies) EXPECT_EQ(reply.result, policy::CallResult::kConnectFailed);
+  ClientUnderTest unreachable(UnusedPort(), 30);
+  for (int i = 0; i < 200; ++i) unreachable.client.Call(i, 1, 5);
+  unreachable.RunUntil([&] { return unreachable.replies.size() == 200; });
+  for (const auto& reply : unreachable.replies) EXPECT_EQ(reply.result, policy::CallResult::kConnectFailed);
 
-  StubCounter broken([](const std::string&, double) { return std::string("?\r\n"); });
-  ClientUnderTest broke(broken.port(), 30);
-  broke.client.Call(1, 1, 5);
-  broke.RunUntil([&] { return broke.replies.size() == 1; });
-  EXPECT_EQ(broke.replies[0].result, policy::CallResult::kTimeout);
+  StubCounter invalid_counter([](const std::string&, double) { return std::string("?\r\n"); });
+  ClientUnderTest interrupted(invalid_counter.port(), 30);
+  interrupted.client.Call(1, 1, 5);
+  interrupted.RunUntil([&] { return interrupted.replies.size() == 1; });
+  EXPECT_EQ(interrupted.replies[0].result, policy::CallResult::kTimeout);
 }
 
-// A reply cannot be read. What was in flight on its connection may have been added and times out; nothing
-// else is lost, and the next call goes out at once on another connection, without a backoff.
-TEST(CounterClient, CallsAgainAtOnceAfterAnInvalidReply) {
-  std::atomic<int> seen{0};
+// The counter sends an invalid reply. The calls in flight on that connection may have been added and end as
+// timed out. No other call may be lost, and the next call must be sent immediately on another connection,
+// without a backoff.
+TEST(CounterClient, CallsAgainImmediatelyAfterAnInvalidReply) {
+  std::atomic<int> call_count{0};
   StubCounter counter(
-      [&](const std::string&, double) { return seen++ % 2 == 0 ? "$x\r\n" : BulkString("3"); });
+      [&](const std::string&, double) { return call_count++ % 2 == 0 ? "$x\r\n" : BulkString("3"); });
   ClientUnderTest test(counter.port(), 30);
   for (size_t i = 0; i < 40; ++i) {
     test.client.Call(i, 1, 5);
@@ -110,8 +112,9 @@
   }
 }
 
-// The counter falls silent under 5,000 calls. Calls and connections stay bounded, every call ends, and when
-// the counter is back the client reaches it on new connections.
+// The counter is silent while 5,000 calls are made. The calls in flight and the connections must stay
+// bounded, every call must end, and once the counter answers again, the client must reach it on new
+// connections.
 TEST(CounterClient, BoundsCallsInFlightAndReconnectsAfterSilence) {
   std::atomic<bool> silent{true};
   StubCounter counter([&](const std::string&, double) { return silent ? std::string() : BulkString("5"); });
@@ -125,25 +128,25 @@
   test.RunUntil([&] {
     if (test.replies.back().result == policy::CallResult::kOk) return true;
     test.client.Call(++key, 1, 5);
-    size_t before = test.replies.size();
-    test.RunUntil([&] { return test.replies.size() > before; });
+    size_t reply_count = test.replies.size();
+    test.RunUntil([&] { return test.replies.size() > reply_count; });
     return test.replies.back().result == policy::CallResult::kOk;
   });
 }
 
-// The process is held up past a call's time-out, with its reply in the socket behind more events than the
-// event loop takes from the system at once. A reply that came in time must not end as a time-out: four of
-// them in a row make a counter count as silent.
-TEST(CounterClient, ReadsAReplyThatCameBeforeTheTimeout) {
+// The event loop stalls for longer than the timeout of a call. Meanwhile the reply is received, but its event
+// is queued behind more events than the loop retrieves with one epoll_wait. A call whose reply arrived in
+// time must not time out: four consecutive timeouts make a counter count as silent.
+TEST(CounterClient, ReadsAReplyThatArrivedBeforeTheTimeout) {
   Event released;
   StubCounter counter([&](const std::string&, double) { return released.Wait(), BulkString("7"); });
   ClientUnderTest test(counter.port(), 0.3);
   ReadySockets ready(test.io);
   test.client.Call(11, 1, 5);
   test.RunUntil([&] { return counter.calls.count() == 1; });
-  boost::asio::steady_timer earlier(test.io, std::chrono::milliseconds(1));
-  earlier.async_wait([](boost::system::error_code) {});
-  // The hold: the loop does not turn.
+  boost::asio::steady_timer expired(test.io, std::chrono::milliseconds(1));
+  expired.async_wait([](boost::system::error_code) {});
+  // The event loop stalls: it runs no handler until RunUntil() below.
   std::this_thread::sleep_for(std::chrono::milliseconds(10));
   ready.MakeReady();
   released.Add();
