--- a/tests/net/discovery_client_test.cpp
+++ b/tests/net/discovery_client_test.cpp
@@ -23,246 +23,254 @@
 
 using namespace test_support;
 
-// A client and its agent, which the test plays itself.
+// A client whose agent is played by the test.
 struct DiscoveryFixture : EventLoop {
   explicit DiscoveryFixture(double drain_grace_s = 1) {
     deployment.drain_grace_s = drain_grace_s;
     deployment.connect_timeout_s = 0.25;
     client.emplace(
         io, LoopbackEndpoint(listener.port()), deployment, &ids,
-        [this](EndpointList list) { lists.push_back(std::move(list)); }, [this] { ++failed; }, &log);
+        [this](EndpointList list) { lists.push_back(std::move(list)); }, [this] { ++failed_exchanges; },
+        &log);
     client->Start();
     AcceptConnection();
   }
-  // Accepts the client's next connection.
+  // Accepts the next_agent connection of the client.
   void AcceptConnection() {
     RunUntil([&] { return listener.HasPending(); });
     connection = listener.Accept();
   }
-  // The head of the client's next poll or watch.
+  // Waits for the next_agent poll or watch of the client and returns its head.
   std::string ReceivePoll() {
     pollfd ready{connection->fd(), POLLIN, 0};
     RunUntil([&] { return poll(&ready, 1, 0) > 0; });
     return connection->Read().head;
   }
-  // Answers by a list of one endpoint, and waits until the client has taken or rejected it.
+  // Answers with a list of one endpoint, and waits until the client has accepted or rejected it.
   void SendList(int index, bool full, const std::string& status) {
-    size_t before = lists.size();
-    int failures = failed;
+    size_t lists_before = lists.size();
+    int failures_before = failed_exchanges;
     connection->Write(OkResponse(
         json{{"index", index}, {"snapshot", full}, {"endpoints", {EndpointEntry("a", 1, status)}}}.dump(2)));
-    RunUntil([&] { return lists.size() > before || failed > failures; });
+    RunUntil([&] { return lists.size() > lists_before || failed_exchanges > failures_before; });
   }
   RecordingLog log;
   config::DeploymentSettings deployment;
   EndpointIds ids;
   ManualListener listener;
   std::unique_ptr<TestConnection> connection;
-  std::vector<EndpointList> lists;  // that the client has taken
-  int failed = 0;                   // exchanges
+  std::vector<EndpointList> lists;  // accepted by the client
+  int failed_exchanges = 0;
   std::optional<DiscoveryClient> client;
 };
 
-// A backend begins to drain while no watch is open, or while one hangs, so that the gateway reads of it late.
-// Its grace runs all the same: what the agent has counts as notified from its last response on, or from the
-// gateway's start.
+// A backend starts to drain while no watch is open, or while a watch hangs, so that the gateway reads the
+// change late. The grace of the backend elapses nevertheless. A change therefore counts as notified from the
+// agent's previous response on, or from the start of the gateway if there is none; counted from the reading
+// of the list, the gateway would send requests past the grace.
 TEST(DiscoveryClient, CountsAChangeAsNotifiedSinceTheLastResponse) {
-  auto start = Clock::now();
-  DiscoveryFixture agent;
-  auto begun = Clock::now();
-  agent.ReceivePoll();
-  agent.SendList(1, true, "active");
-  ASSERT_EQ(agent.lists.size(), 1u);
-  EXPECT_GE(agent.lists[0].notified_at, start);
-  EXPECT_LE(agent.lists[0].notified_at, begun) << "a new process counts as notified from its start";
-  auto first_response = Clock::now();
-  EXPECT_NE(agent.ReceivePoll().find("after=1"), std::string::npos);
-  agent.connection->Reset();  // the watch breaks, and the list changes while none is open
-  agent.AcceptConnection();
-  agent.ReceivePoll();
-  agent.SendList(2, false, "leaving");
-  ASSERT_EQ(agent.lists.size(), 2u);
-  EXPECT_LE(agent.lists[1].notified_at, first_response);
+  auto before_start = Clock::now();
+  DiscoveryFixture fixture;
+  auto after_start = Clock::now();
+  fixture.ReceivePoll();
+  fixture.SendList(1, true, "active");
+  ASSERT_EQ(fixture.lists.size(), 1u);
+  EXPECT_GE(fixture.lists[0].notified_at, before_start);
+  EXPECT_LE(fixture.lists[0].notified_at, after_start) << "the first list counts as notified from the start";
+  auto first_response_at = Clock::now();
+  EXPECT_NE(fixture.ReceivePoll().find("after=1"), std::string::npos);
+  fixture.connection->Reset();  // the list changes while no watch is open
+  fixture.AcceptConnection();
+  fixture.ReceivePoll();
+  fixture.SendList(2, false, "leaving");
+  ASSERT_EQ(fixture.lists.size(), 2u);
+  EXPECT_LE(fixture.lists[1].notified_at, first_response_at);
 }
 
-// A watch hangs and is never answered again. It has to be given up within the draining grace, less what a
-// connection may take to come up, or requests would be sent to a draining backend past its grace.
+// A watch hangs and is never answered. The client must poll again within the drain grace, less the time that
+// establishing a connection may take. Otherwise requests would be sent to a draining backend past its grace.
 TEST(DiscoveryClient, PollsAgainWithinTheDrainGrace) {
   for (double drain_grace_s : {0.5, 1.0, 2.0}) {
-    DiscoveryFixture agent(drain_grace_s);
-    agent.ReceivePoll();
-    agent.SendList(1, true, "active");
-    std::string watch = agent.ReceivePoll();
-    size_t at = watch.find("wait_ms=");
-    ASSERT_NE(at, std::string::npos);
-    int wait_ms = std::atoi(watch.c_str() + at + 8);
+    DiscoveryFixture fixture(drain_grace_s);
+    fixture.ReceivePoll();
+    fixture.SendList(1, true, "active");
+    std::string watch = fixture.ReceivePoll();
+    size_t wait_at = watch.find("wait_ms=");
+    ASSERT_NE(wait_at, std::string::npos);
+    int wait_ms = std::atoi(watch.c_str() + wait_at + 8);
     EXPECT_GT(wait_ms, 0);
     EXPECT_LE(wait_ms, 1000 * std::max(0.25, drain_grace_s - 0.25) / 2);
-    auto silent = std::move(agent.connection);
-    agent.AcceptConnection();  // while the old watch stays open and silent
-    EXPECT_FALSE(agent.ReceivePoll().empty());
+    auto silent = std::move(fixture.connection);
+    fixture.AcceptConnection();  // while the old watch is still open and silent
+    EXPECT_FALSE(fixture.ReceivePoll().empty());
   }
 }
 
-// A watch is answered by an index that goes back, as after a restart of the agent. What changed since is not
-// known then. The full list is polled, and taken whatever its index.
-TEST(DiscoveryClient, RejectsAChangeOfAnOlderIndex) {
-  DiscoveryFixture agent;
-  agent.ReceivePoll();
-  agent.SendList(7, true, "leaving");
-  agent.ReceivePoll();
-  agent.SendList(3, false, "active");
-  EXPECT_EQ(agent.lists.size(), 1u);
-  agent.AcceptConnection();
-  EXPECT_EQ(agent.ReceivePoll().find("after="), std::string::npos);
-  agent.SendList(3, true, "active");
-  EXPECT_EQ(agent.lists.size(), 2u);
-  EXPECT_NE(agent.ReceivePoll().find("after=3"), std::string::npos);
+// A watch is answered with a lower index, as after a restart of the agent. It is then unknown what has
+// changed in between. The client must poll the full list and accept it regardless of its index.
+TEST(DiscoveryClient, RejectsChangesWithALowerIndex) {
+  DiscoveryFixture fixture;
+  fixture.ReceivePoll();
+  fixture.SendList(7, true, "leaving");
+  fixture.ReceivePoll();
+  fixture.SendList(3, false, "active");
+  EXPECT_EQ(fixture.lists.size(), 1u);
+  fixture.AcceptConnection();
+  EXPECT_EQ(fixture.ReceivePoll().find("after="), std::string::npos);
+  fixture.SendList(3, true, "active");
+  EXPECT_EQ(fixture.lists.size(), 2u);
+  EXPECT_NE(fixture.ReceivePoll().find("after=3"), std::string::npos);
 }
 
-// The agent sends a byte every 10 ms and never the end of its response, to a poll or to a watch. It is never
-// silent for long, so that only the limit on the whole response ends the exchange. The next one has to get
-// the list.
+// The agent sends a byte of its response every 10 ms but never completes it, first for a poll and then for a
+// watch. As it is never silent for long, only the timeout of the complete response ends the exchange. The
+// next exchange must get the list.
 TEST(DiscoveryClient, TimesOutAResponseThatNeverEnds) {
   for (bool watch : {false, true}) {
-    DiscoveryFixture agent(2.5);
-    agent.ReceivePoll();
+    DiscoveryFixture fixture(2.5);
+    fixture.ReceivePoll();
     if (watch) {
-      agent.SendList(1, true, "active");
-      agent.ReceivePoll();
+      fixture.SendList(1, true, "active");
+      fixture.ReceivePoll();
     }
-    std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"index\":2,";
-    size_t at = 0;
-    auto next = Clock::now();
-    agent.RunUntil([&] {
-      if (Clock::now() >= next) {
-        agent.connection->Write(at < text.size() ? text.substr(at, 1) : " ");
-        next = Clock::now() + std::chrono::milliseconds(10);
-        ++at;
+    std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"index\":2,";
+    size_t sent_bytes = 0;
+    auto next_byte_at = Clock::now();
+    fixture.RunUntil([&] {
+      if (Clock::now() >= next_byte_at) {
+        fixture.connection->Write(sent_bytes < response.size() ? response.substr(sent_bytes, 1) : " ");
+        next_byte_at = Clock::now() + std::chrono::milliseconds(10);
+        ++sent_bytes;
       }
-      return agent.failed > 0 && agent.listener.HasPending();
+      return fixture.failed_exchanges > 0 && fixture.listener.HasPending();
     });
-    EXPECT_EQ(agent.failed, 1) << watch;
-    agent.AcceptConnection();
-    agent.ReceivePoll();
-    agent.SendList(2, true, "leaving");
-    EXPECT_EQ(agent.lists.back().index, 2u) << watch;
+    EXPECT_EQ(fixture.failed_exchanges, 1) << watch;
+    fixture.AcceptConnection();
+    fixture.ReceivePoll();
+    fixture.SendList(2, true, "leaving");
+    EXPECT_EQ(fixture.lists.back().index, 2u) << watch;
   }
 }
 
-// An exchange is reset, cut off, hangs after half a response, or brings an error, no HTTP or no list. However
-// it fails, the next one has to begin, and after some failures in a row the full list is polled.
-TEST(DiscoveryClient, PollsAgainHoweverAnExchangeFails) {
-  std::vector<std::pair<std::string, std::function<void(DiscoveryFixture&)>>> ends = {
-      {"reset", [](DiscoveryFixture& a) { a.connection->Reset(); }},
-      {"half a response",
-       [](DiscoveryFixture& a) {
-         a.connection->Write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"ind");
-         a.connection->HalfClose();
+// An exchange is reset, is truncated, hangs after half a response, or returns an error status, invalid HTTP
+// or a body that is no list. After each of these failures the next exchange must start, and after
+// several consecutive failures the client must poll the full list.
+TEST(DiscoveryClient, PollsAgainAfterAnyFailureOfAnExchange) {
+  std::vector<std::pair<std::string, std::function<void(DiscoveryFixture&)>>> failures = {
+      {"reset", [](DiscoveryFixture& fixture) { fixture.connection->Reset(); }},
+      {"truncated response",
+       [](DiscoveryFixture& fixture) {
+         fixture.connection->Write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"ind");
+         fixture.connection->HalfClose();
+       }},
+      {"silence within the head",
+       [](DiscoveryFixture& fixture) { fixture.connection->Write("HTTP/1.1 200 OK\r\nContent-Le"); }},
+      {"status 503",
+       [](DiscoveryFixture& fixture) {
+         fixture.connection->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
        }},
-      {"silence after half",
-       [](DiscoveryFixture& a) { a.connection->Write("HTTP/1.1 200 OK\r\nContent-Le"); }},
-      {"503",
-       [](DiscoveryFixture& a) { a.connection->Write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"); }},
-      {"noise", [](DiscoveryFixture& a) { a.connection->Write("*** \r\n\r\n"); }},
-      {"no list", [](DiscoveryFixture& a) { a.connection->Write(OkResponse("{}")); }}};
-  for (const auto& [how, end] : ends) {
-    DiscoveryFixture agent(2.5);
-    agent.ReceivePoll();
-    agent.SendList(1, true, "active");
-    for (int i = 0; i < 4; ++i) {  // past the fallback to the full list
-      agent.ReceivePoll();
-      auto broken = std::move(agent.connection);
-      std::swap(agent.connection, broken);
-      end(agent);
-      broken = std::move(agent.connection);
-      agent.AcceptConnection();
+      {"invalid HTTP", [](DiscoveryFixture& fixture) { fixture.connection->Write("*** \r\n\r\n"); }},
+      {"body without a list",
+       [](DiscoveryFixture& fixture) { fixture.connection->Write(OkResponse("{}")); }}};
+  for (const auto& [failure, fail] : failures) {
+    DiscoveryFixture fixture(2.5);
+    fixture.ReceivePoll();
+    fixture.SendList(1, true, "active");
+    for (int i = 0; i < 4; ++i) {  // enough failures for the fallback to the full list
+      fixture.ReceivePoll();
+      auto failed_connection = std::move(fixture.connection);
+      std::swap(fixture.connection, failed_connection);
+      fail(fixture);
+      failed_connection = std::move(fixture.connection);
+      fixture.AcceptConnection();
     }
-    EXPECT_EQ(agent.ReceivePoll().find("after="), std::string::npos) << how;
-    agent.SendList(9, true, "leaving");
-    EXPECT_EQ(agent.lists.back().index, 9u) << how;
+    EXPECT_EQ(fixture.ReceivePoll().find("after="), std::string::npos) << failure;
+    fixture.SendList(9, true, "leaving");
+    EXPECT_EQ(fixture.lists.back().index, 9u) << failure;
   }
 }
 
-// The agent answers each watch at once with nothing new. Without a pause between watches that would keep the
-// gateway busy.
-TEST(DiscoveryClient, PausesBetweenWatchesWithNothingNew) {
-  DiscoveryFixture agent(2.5);
-  agent.ReceivePoll();
-  agent.SendList(1, true, "active");
-  auto began = Clock::now();
+// The agent answers each watch immediately although nothing has changed. Without a pause between the watches,
+// they would keep the gateway busy.
+TEST(DiscoveryClient, PausesBetweenWatchesWithoutChanges) {
+  DiscoveryFixture fixture(2.5);
+  fixture.ReceivePoll();
+  fixture.SendList(1, true, "active");
+  auto start = Clock::now();
   constexpr int kWatches = 10;
   for (int i = 0; i < kWatches; ++i) {
-    EXPECT_NE(agent.ReceivePoll().find("after=1"), std::string::npos);
+    EXPECT_NE(fixture.ReceivePoll().find("after=1"), std::string::npos);
     bool full = i % 2 == 0;
-    size_t before = agent.lists.size();
+    size_t lists_before = fixture.lists.size();
     json entries = full ? json::array({EndpointEntry("a", 1)}) : json::array();
-    agent.connection->Write(
+    fixture.connection->Write(
         OkResponse(json{{"index", 1}, {"snapshot", full}, {"endpoints", entries}}.dump()));
-    agent.RunUntil([&] { return agent.lists.size() > before; });
+    fixture.RunUntil([&] { return fixture.lists.size() > lists_before; });
   }
   // A lower bound, which holds on a slow machine too.
-  EXPECT_GE(Clock::now() - began, (kWatches - 1) * std::chrono::milliseconds(20));
+  EXPECT_GE(Clock::now() - start, (kWatches - 1) * std::chrono::milliseconds(20));
 }
 
-// The agent sends interim responses ahead of the list, and pauses within it for longer than the silence that
-// a short grace allows. The allowed silence doubles with each failure, so that the list is read in the end.
+// The agent sends interim responses before the list, and pauses within the list for longer than the silence
+// limit of a short grace. The limit doubles with each failure, so that the list must be received after a few
+// exchanges.
 TEST(DiscoveryClient, ToleratesPausesAndInterimResponses) {
-  DiscoveryFixture agent(0.5);  // silence is noticed after 75 ms
-  agent.ReceivePoll();
-  agent.SendList(1, true, "active");
-  std::string text =
+  DiscoveryFixture fixture(0.5);  // the silence limit is 75 ms before the first failure
+  fixture.ReceivePoll();
+  fixture.SendList(1, true, "active");
+  std::string response =
       OkResponse(json{{"index", 2}, {"snapshot", true}, {"endpoints", {EndpointEntry("a", 1)}}}.dump());
   std::string interim = "HTTP/1.1 103 Early Hints\r\n\r\n";
-  // The third exchange at the latest: 300 ms are allowed by then.
-  for (int i = 0; i < 6 && agent.lists.size() < 2; ++i) {
-    agent.ReceivePoll();
-    agent.connection->Write(interim + interim + text.substr(0, 40));
-    auto resume = Clock::now() + std::chrono::milliseconds(150);
-    int failed = agent.failed;
-    agent.RunUntil([&] { return Clock::now() >= resume || agent.failed > failed; });
-    if (agent.failed > failed) {
-      agent.AcceptConnection();
+  // The third exchange must succeed at the latest, as its silence limit is 300 ms.
+  for (int i = 0; i < 6 && fixture.lists.size() < 2; ++i) {
+    fixture.ReceivePoll();
+    fixture.connection->Write(interim + interim + response.substr(0, 40));
+    auto resume_at = Clock::now() + std::chrono::milliseconds(150);
+    int failures_before = fixture.failed_exchanges;
+    fixture.RunUntil([&] { return Clock::now() >= resume_at || fixture.failed_exchanges > failures_before; });
+    if (fixture.failed_exchanges > failures_before) {
+      fixture.AcceptConnection();
       continue;
     }
-    agent.connection->Write(text.substr(40));
-    agent.RunUntil([&] { return agent.lists.size() == 2 || agent.failed > failed; });
+    fixture.connection->Write(response.substr(40));
+    fixture.RunUntil([&] { return fixture.lists.size() == 2 || fixture.failed_exchanges > failures_before; });
   }
-  EXPECT_EQ(agent.lists.size(), 2u);
+  EXPECT_EQ(fixture.lists.size(), 2u);
 }
 
-// Discovery is silent for long and returns just after a poll has begun, which it never answers: only polls
-// that begin later are. A drain that it then has is to be learnt within the draining grace, or requests would
-// be sent to the backend past it.
-TEST(DiscoveryClient, LearnsADrainWithinTheGraceAfterTheAgentReturns) {
-  constexpr int kFailures = 5;  // past every doubling of a time-out
+// The agent is silent for a long time and returns just after a poll has started. It never answers that poll
+// but only those that start later. A drain that it reports then must be learned within the drain grace, or
+// requests would be sent to the backend past its grace.
+TEST(DiscoveryClient, LearnsOfADrainWithinTheGraceAfterTheAgentReturns) {
+  constexpr int kFailures = 5;  // after so many failures no timeout doubles any more
   for (double drain_grace_s : {0.4, 0.5, 0.8, 2.0}) {
-    DiscoveryFixture agent(drain_grace_s);
-    agent.ReceivePoll();
-    agent.SendList(1, true, "active");
-    agent.ReceivePoll();
+    DiscoveryFixture fixture(drain_grace_s);
+    fixture.ReceivePoll();
+    fixture.SendList(1, true, "active");
+    fixture.ReceivePoll();
     std::vector<std::unique_ptr<TestConnection>> unanswered;
-    while (agent.failed < kFailures) {
-      unanswered.push_back(std::move(agent.connection));
-      agent.AcceptConnection();
+    while (fixture.failed_exchanges < kFailures) {
+      unanswered.push_back(std::move(fixture.connection));
+      fixture.AcceptConnection();
     }
-    agent.ReceivePoll();
-    auto returned = Clock::now();
-    unanswered.push_back(std::move(agent.connection));
-    agent.AcceptConnection();
-    agent.ReceivePoll();
-    agent.SendList(2, true, "leaving");
-    ASSERT_EQ(agent.lists.size(), 2u);
-    EXPECT_LE(ToSeconds(Clock::now() - returned), drain_grace_s);
+    fixture.ReceivePoll();
+    auto returned_at = Clock::now();
+    unanswered.push_back(std::move(fixture.connection));
+    fixture.AcceptConnection();
+    fixture.ReceivePoll();
+    fixture.SendList(2, true, "leaving");
+    ASSERT_EQ(fixture.lists.size(), 2u);
+    EXPECT_LE(ToSeconds(Clock::now() - returned_at), drain_grace_s);
   }
 }
 
-// The agent is crowded: it answers each poll, but its first byte comes only after twice the time in which a
-// short grace wants the agent polled anew. Its answer is to be taken all the same, or no list would ever be.
-TEST(DiscoveryClient, HearsAnAgentWhoseFirstByteIsLate) {
-  DiscoveryFixture agent(0.5);
-  agent.ReceivePoll();
-  agent.SendList(1, true, "active");
+// The agent is overloaded. It answers each poll, but the first byte of a response arrives after twice the
+// time within which the client must poll again for a short grace. The client must accept this response, or it
+// would never get a list.
+TEST(DiscoveryClient, AcceptsAResponseWhoseFirstByteIsLate) {
+  DiscoveryFixture fixture(0.5);
+  fixture.ReceivePoll();
+  fixture.SendList(1, true, "active");
   struct Poll {
     std::unique_ptr<TestConnection> connection;
     Clock::time_point answer_at;
@@ -271,43 +279,43 @@
   std::string answer =
       OkResponse(json{{"index", 2}, {"snapshot", true}, {"endpoints", {EndpointEntry("a", 1)}}}.dump());
   std::vector<Poll> polls;
-  agent.ReceivePoll();
-  polls.push_back({std::move(agent.connection), Clock::now() + kLate});
-  auto limit = Clock::now() + std::chrono::seconds(10);
-  agent.RunUntil([&] {
-    if (agent.listener.HasPending()) {
-      polls.push_back({agent.listener.Accept(), Clock::now() + kLate});
+  fixture.ReceivePoll();
+  polls.push_back({std::move(fixture.connection), Clock::now() + kLate});
+  auto give_up_at = Clock::now() + std::chrono::seconds(10);
+  fixture.RunUntil([&] {
+    if (fixture.listener.HasPending()) {
+      polls.push_back({fixture.listener.Accept(), Clock::now() + kLate});
     }
     for (Poll& poll : polls) {
       if (poll.answer_at > Clock::now()) continue;
       poll.connection->Write(answer);
       poll.answer_at = Clock::time_point::max();
     }
-    return agent.lists.size() > 1 || Clock::now() > limit;
+    return fixture.lists.size() > 1 || Clock::now() > give_up_at;
   });
-  ASSERT_GE(agent.lists.size(), 2u);
-  EXPECT_EQ(agent.lists.back().index, 2u);
+  ASSERT_GE(fixture.lists.size(), 2u);
+  EXPECT_EQ(fixture.lists.back().index, 2u);
 }
 
-// SIGHUP names another agent, which accepts connections, answers nothing at first, and then does. The client
-// has to poll it again until it gets the full list.
-TEST(DiscoveryClient, PollsAgainWhereTheNewAgentIsSilent) {
-  DiscoveryFixture agent(2.5);
-  agent.ReceivePoll();
-  agent.SendList(1, true, "active");
-  agent.ReceivePoll();
-  ManualListener next;
-  agent.client->SwitchTo(LoopbackEndpoint(next.port()));
+// A reload names another agent, which accepts connections but does not answer at first. The client must poll
+// it until it gets the full list.
+TEST(DiscoveryClient, PollsAgainIfTheNewAgentIsSilent) {
+  DiscoveryFixture fixture(2.5);
+  fixture.ReceivePoll();
+  fixture.SendList(1, true, "active");
+  fixture.ReceivePoll();
+  ManualListener next_agent;
+  fixture.client->SwitchTo(LoopbackEndpoint(next_agent.port()));
   std::vector<std::unique_ptr<TestConnection>> silent;
   for (int i = 0; i < 3; ++i) {
-    agent.RunUntil([&] { return next.HasPending(); });
-    silent.push_back(next.Accept());
+    fixture.RunUntil([&] { return next_agent.HasPending(); });
+    silent.push_back(next_agent.Accept());
   }
-  agent.RunUntil([&] { return next.HasPending(); });
-  agent.connection = next.Accept();
-  EXPECT_EQ(agent.ReceivePoll().find("after="), std::string::npos);
-  agent.SendList(5, true, "leaving");
-  EXPECT_EQ(agent.lists.back().index, 5u);
+  fixture.RunUntil([&] { return next_agent.HasPending(); });
+  fixture.connection = next_agent.Accept();
+  EXPECT_EQ(fixture.ReceivePoll().find("after="), std::string::npos);
+  fixture.SendList(5, true, "leaving");
+  EXPECT_EQ(fixture.lists.back().index, 5u);
 }
 
 }  // namespace
