--- a/tests/net/log_descriptor_test.cpp
+++ b/tests/net/log_descriptor_test.cpp
@@ -22,7 +22,7 @@
 
 const std::string kLine = std::string(99, 'x') + "\n";
 
-// The two ends of a pipe of the least size, or of another channel.
+// Both ends of a channel to which a log may be written. A reader of -1 is closed already.
 struct Channel {
   Channel() = default;
   ~Channel() {
@@ -35,6 +35,7 @@
   int writer = -1;
 };
 
+// A pipe of the minimum size.
 struct Pipe : Channel {
   Pipe() {
     int ends[2];
@@ -64,50 +65,54 @@
   }
 };
 
-// Writes until there is no room, which is soon: a write that waits would never return.
-size_t FillUp(LogDescriptor* descriptor) {
-  constexpr size_t kMoreThanAnyChannel = size_t{64} << 20;
+// Writes lines until the channel is full and returns the number of bytes written. The size of the channels
+// limits this to a short time. A write that blocks would never return, as nothing reads the channel.
+size_t FillChannel(LogDescriptor* descriptor) {
+  constexpr size_t kMoreThanAnyChannelBytes = size_t{64} << 20;
   size_t written = 0;
-  while (written < kMoreThanAnyChannel) {
+  while (written < kMoreThanAnyChannelBytes) {
     size_t n = descriptor->Write(kLine);
     written += n;
     if (n < kLine.size()) break;
   }
-  EXPECT_LT(written, kMoreThanAnyChannel);
+  EXPECT_LT(written, kMoreThanAnyChannelBytes);
   return written;
 }
 
-// Reads, and waits until that has made room, which a terminal does a while later and without a wake-up.
-void ReadUntilThereIsRoom(const Channel& channel) {
-  char part[65536];
-  EXPECT_GT(read(channel.reader, part, sizeof(part)), 0);
-  auto end = std::chrono::steady_clock::now() + std::chrono::seconds(test_support::kWaitTimeoutS);
+// Reads once and waits until the channel has room again. A terminal takes a moment for that and does not wake
+// up a poll() that waits for it, hence the polling.
+void ReadAndAwaitRoom(const Channel& channel) {
+  char buffer[65536];
+  EXPECT_GT(read(channel.reader, buffer, sizeof(buffer)), 0);
+  auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(test_support::kWaitTimeoutS);
   pollfd room{channel.writer, POLLOUT, 0};
-  while (poll(&room, 1, 0) == 0 && std::chrono::steady_clock::now() < end) {
+  while (poll(&room, 1, 0) == 0 && std::chrono::steady_clock::now() < deadline) {
     std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
   EXPECT_NE(room.revents & POLLOUT, 0);
 }
 
-// Nobody reads: the writes must say so in place of waiting, and must not make the open file non-blocking for
-// the processes that share it. When somebody reads again there is room again.
-void ExpectNeverWaits(const Channel& channel) {
+// Nothing reads the channel. A write must then return 0 instead of blocking, or a log collector that hangs
+// would stop the gateway. It must not set the open file description to non-blocking either, because other
+// processes may share it. Once the channel is read again, writes must succeed again.
+void ExpectNeverBlocks(const Channel& channel) {
   LogDescriptor descriptor(channel.writer);
-  EXPECT_GT(FillUp(&descriptor), 0U);
+  EXPECT_GT(FillChannel(&descriptor), 0U);
   EXPECT_EQ(descriptor.Write(kLine), 0U);
   EXPECT_EQ(fcntl(channel.writer, F_GETFL) & O_NONBLOCK, 0);
-  ReadUntilThereIsRoom(channel);
+  ReadAndAwaitRoom(channel);
   EXPECT_GT(descriptor.Write("a line\n"), 0U);
 }
 
-TEST(LogDescriptor, NeverWaitsForAPipe) { ExpectNeverWaits(Pipe()); }
+TEST(LogDescriptor, NeverBlocksOnAPipe) { ExpectNeverBlocks(Pipe()); }
 
-TEST(LogDescriptor, NeverWaitsForASocket) { ExpectNeverWaits(SocketPair()); }
+TEST(LogDescriptor, NeverBlocksOnASocket) { ExpectNeverBlocks(SocketPair()); }
 
-TEST(LogDescriptor, NeverWaitsForATerminal) { ExpectNeverWaits(Terminal()); }
+TEST(LogDescriptor, NeverBlocksOnATerminal) { ExpectNeverBlocks(Terminal()); }
 
-// A supervisor under another user owns the pipe, which then cannot be opened anew.
-TEST(LogDescriptor, NeverWaitsForAPipeOfAnotherUser) {
+// The pipe belongs to another user, for instance that of a supervisor. It can then not be reopened as
+// non-blocking, and the gateway must fall back to another way of writing without blocking.
+TEST(LogDescriptor, NeverBlocksOnAPipeOfAnotherUser) {
   Pipe pipe;
   EXPECT_EQ(fchmod(pipe.writer, 0), 0);
   uid_t user = geteuid();
@@ -116,19 +121,21 @@
   }
   std::string path = "/proc/self/fd/" + std::to_string(pipe.writer);
   EXPECT_LT(open(path.c_str(), O_WRONLY | O_NONBLOCK), 0);
-  ExpectNeverWaits(pipe);
+  ExpectNeverBlocks(pipe);
   if (user == 0) {
     EXPECT_EQ(seteuid(user), 0);
   }
 }
 
-// A line goes into a pipe complete or not at all, so that it is never cut in two by another process.
-TEST(LogDescriptor, WritesToAPipeAllOrNothing) {
+// A line must be written to a pipe completely or not at all. If a part of it were written, the output of
+// another process could split the line.
+TEST(LogDescriptor, WritesLinesToAPipeCompletelyOrNotAtAll) {
   Pipe pipe;
   LogDescriptor descriptor(pipe.writer);
-  EXPECT_EQ(FillUp(&descriptor) % kLine.size(), 0U);
+  EXPECT_EQ(FillChannel(&descriptor) % kLine.size(), 0U);
 }
 
+// A log file may have content from before the start, which must not be overwritten.
 TEST(LogDescriptor, AppendsToAFile) {
   char path[] = "/tmp/log-descriptor-test-XXXXXX";
   int file = mkstemp(path);
@@ -142,9 +149,9 @@
   unlink(path);
 }
 
-// The number of a standard error that is closed is given to the next descriptor that the process opens, of a
-// client's connection for instance: no line may go there.
-TEST(LogDescriptor, NeverWritesToADescriptorThatWasClosed) {
+// If the standard error is closed, its number is assigned to the next descriptor that the process opens, for
+// instance of a client connection. No log line may be written to that descriptor.
+TEST(LogDescriptor, NeverWritesToADescriptorThatWasClosedAtConstruction) {
   Pipe pipe;
   int closed = dup(pipe.writer);
   close(closed);
@@ -154,7 +161,8 @@
   close(closed);
 }
 
-TEST(LogDescriptor, TakesNothingWhenTheReaderHasGone) {
+// The reader of the log may exit at any time. A write must then report that nothing was written.
+TEST(LogDescriptor, WritesNothingAfterTheReaderHasClosed) {
   std::signal(SIGPIPE, SIG_IGN);  // as the gateway does
   Pipe pipe;
   LogDescriptor descriptor(pipe.writer);
--- a/tests/net/non_blocking_log_test.cpp
+++ b/tests/net/non_blocking_log_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr char kResumed[] = "log_resumed log_lines_dropped=";
 
-// A log on a channel whose other end the test reads.
+// A log that writes to a channel whose other end the test reads.
 class LogFixture : public EventLoop {
  public:
   LogFixture(int reader, int writer) : reader_(reader), writer_(writer), descriptor_(writer) {
@@ -34,15 +34,15 @@
   LogFixture(const LogFixture&) = delete;
   LogFixture& operator=(const LogFixture&) = delete;
 
-  // Reads what is there.
+  // Reads all available bytes into `text`.
   void Read() {
-    char part[65536];
+    char buffer[65536];
     ssize_t n;
-    while ((n = read(reader_, part, sizeof(part))) > 0) text.append(part, static_cast<size_t>(n));
+    while ((n = read(reader_, buffer, sizeof(buffer))) > 0) text.append(buffer, static_cast<size_t>(n));
   }
 
-  // What the lines of `text` account for, written or counted as dropped. All are "line N", with a filling,
-  // each greater than the one before.
+  // Returns the number of lines that `text` contains or counts as dropped. Expects that each line it contains
+  // is Line(N), where N is the number of lines before it, including the dropped ones.
   int CountLines() {
     std::istringstream lines(text);
     int total = 0;
@@ -59,7 +59,7 @@
 
   static std::string Line(int number) { return "line " + std::to_string(number) + std::string(100, 'x'); }
 
-  std::string text;  // read so far
+  std::string text;  // everything read so far
   std::optional<NonBlockingLog> log;
 
  private:
@@ -87,7 +87,9 @@
   }
 };
 
-// A reader that comes and goes: each line is read, whole and in order, or counted as dropped, in its place.
+// The reader pauses for so long that the channel becomes full, and then reads again. Each line must be read
+// completely and in order, or be counted as dropped at its position; otherwise lines would be lost or mixed
+// up without notice.
 void ExpectEveryLineWrittenOrCounted(LogFixture* fixture) {
   constexpr int kLines = 20000;
   constexpr int kLinesBetweenReads = 5000;
@@ -107,14 +109,15 @@
   ExpectEveryLineWrittenOrCounted(&pipe);
 }
 
-// A socket may take a part of a line: the rest has to go out before any other.
+// A socket may accept only a part of a line. The rest must be written before any other line.
 TEST(NonBlockingLog, WritesOrCountsEveryLineOnASocket) {
   SocketLog socket;
   ExpectEveryLineWrittenOrCounted(&socket);
 }
 
-// At the exit there may be no event loop any more to write what is due.
-TEST(NonBlockingLog, WritesWhatIsDueWhenItEnds) {
+// The event loop may have stopped when the process exits. The destructor must then write the count of the
+// dropped lines, or they would be lost without notice.
+TEST(NonBlockingLog, WritesPendingOutputOnDestruction) {
   PipeLog pipe;
   for (int i = 0; i < 100; ++i) pipe.log->Write(LogFixture::Line(i));
   pipe.Read();
@@ -123,13 +126,15 @@
   EXPECT_EQ(pipe.CountLines(), 100);
 }
 
-TEST(NonBlockingLog, BoundsALineAndKeepsItOne) {
+// A value in a line may be long or contain control characters. It must not make the line longer than the
+// limit or split it, as it could then forge a log line.
+TEST(NonBlockingLog, BoundsTheLengthOfALineAndReplacesControlCharacters) {
   PipeLog pipe;
   pipe.log->Write(std::string(5000, 'x'));
   pipe.log->Write("a\nshutdown_started\x1b");
   pipe.Read();
-  std::string longest = std::string(NonBlockingLog::kMaxLineBytes - 4, 'x') + "...\n";
-  EXPECT_EQ(pipe.text, longest + "a shutdown_started \n");
+  std::string truncated = std::string(NonBlockingLog::kMaxLineBytes - 4, 'x') + "...\n";
+  EXPECT_EQ(pipe.text, truncated + "a shutdown_started \n");
 }
 
 }  // namespace
--- a/tests/net/rejection_log_test.cpp
+++ b/tests/net/rejection_log_test.cpp
@@ -11,11 +11,12 @@
 using namespace test_support;
 using Cause = RejectionLog::Cause;
 
-// A flood of rejections must not become a flood of lines, and none of them may be missing from the counts.
-TEST(RejectionLog, WritesOneLineASecondWithEveryCount) {
+// Many requests are rejected within a short time. They must not produce as many log lines, and each of them
+// must be contained in the counts of a line.
+TEST(RejectionLog, WritesOneLinePerSecondWithAllCounts) {
   EventLoop loop;
-  RecordingLog text;
-  RejectionLog log(loop.io, &text);
+  RecordingLog lines;
+  RejectionLog log(loop.io, &lines);
   Clock::time_point now{};
   log.Count(Cause::kOverQuota, "a", now);
   for (int i = 0; i < 3; ++i) log.Count(Cause::kOverload, "b", now + Seconds(0.9));
@@ -23,42 +24,45 @@
   log.Count(Cause::kDeadline, "d", now + Seconds(1.5));
   log.Flush();
   log.Flush();
-  EXPECT_EQ(text.str(),
+  EXPECT_EQ(lines.str(),
             "requests_ended over_quota=1 last_id=a\n"
             "requests_ended overload=3 client_left=1 last_id=c\n"
             "requests_ended deadline=1 last_id=d\n");
 }
 
-// A client chooses its request's id: it must not be able to write a log line of its own.
-TEST(RejectionLog, LeavesOutWhatWouldBreakTheLine) {
+// The id of a request is chosen by the client and may contain spaces, newlines or other control characters.
+// The client must not be able to forge a log line with it.
+TEST(RejectionLog, OmitsCharactersThatWouldSplitTheLine) {
   EventLoop loop;
-  RecordingLog text;
-  RejectionLog log(loop.io, &text);
+  RecordingLog lines;
+  RejectionLog log(loop.io, &lines);
   log.Count(Cause::kInvalid, "a\nshutdown_started b\x1b", {});
-  EXPECT_EQ(text.str(), "requests_ended invalid=1 last_id=ashutdown_startedb\n");
+  EXPECT_EQ(lines.str(), "requests_ended invalid=1 last_id=ashutdown_startedb\n");
 }
 
-// A flood that ends must not leave its last second untold until the next rejection, perhaps hours later.
+// The rejections stop after a while. The counts of the last second must still be written, and not only with
+// the next rejection, which may be hours later.
 TEST(RejectionLog, WritesTheLastCountsWithinASecond) {
   EventLoop loop;
-  RecordingLog text;
-  RejectionLog log(loop.io, &text);
+  RecordingLog lines;
+  RejectionLog log(loop.io, &lines);
   Clock::time_point now = Clock::now();
   log.Count(Cause::kOverQuota, "a", now);
   log.Count(Cause::kOverload, "b", now);
   log.Count(Cause::kOverload, "c", now);
-  loop.RunUntil([&] { return text.str().find("overload=2 last_id=c\n") != std::string::npos; });
+  loop.RunUntil([&] { return lines.str().find("overload=2 last_id=c\n") != std::string::npos; });
   EXPECT_GE(Clock::now(), now + Seconds(1));
-  EXPECT_EQ(text.str(), "requests_ended over_quota=1 last_id=a\nrequests_ended overload=2 last_id=c\n");
+  EXPECT_EQ(lines.str(), "requests_ended over_quota=1 last_id=a\nrequests_ended overload=2 last_id=c\n");
 }
 
-// A client's text must not make a line of any length.
+// The id of a request is chosen by the client and may be long. It must not make the log line arbitrarily
+// long.
 TEST(RejectionLog, BoundsTheLengthOfALine) {
   EventLoop loop;
-  RecordingLog text;
-  RejectionLog log(loop.io, &text);
+  RecordingLog lines;
+  RejectionLog log(loop.io, &lines);
   log.Count(Cause::kInvalid, std::string(8000, 'x'), {});
-  EXPECT_EQ(text.str(), "requests_ended invalid=1 last_id=" + std::string(64, 'x') + "\n");
+  EXPECT_EQ(lines.str(), "requests_ended invalid=1 last_id=" + std::string(64, 'x') + "\n");
 }
 
 }  // namespace
--- a/tests/net/request_parser_test.cpp
+++ b/tests/net/request_parser_test.cpp
@@ -1,4 +1,5 @@
-// Invalid requests from clients: each gets its status from the gateway itself, and no backend sees it.
+// Tests how a gateway process handles invalid requests of clients: it answers each one itself with an error
+// status and forwards none to a backend.
 #include <string>
 #include <utility>
 #include <vector>
@@ -10,85 +11,89 @@
 
 using namespace test_support;
 
-std::string Without(std::string request, const std::string& field) {
+// Returns the request without the line of a field.
+std::string WithoutField(std::string request, const std::string& field) {
   size_t begin = request.find(field + ":");
   return request.erase(begin, request.find("\r\n", begin) + 2 - begin);
 }
 
-std::string With(std::string request, const std::string& from, const std::string& to) {
+// Returns the request with the first occurrence of `from` replaced by `to`.
+std::string WithReplaced(std::string request, const std::string& from, const std::string& to) {
   return request.replace(request.find(from), from.size(), to);
 }
 
-// Requests, and the status of the answer to each.
+// Returns invalid requests, each with the status of the expected response.
 std::vector<std::pair<std::string, int>> InvalidRequests() {
-  std::string good = MakeRequest("quote");
-  std::string big(64 * 1024 + 1, 'b');
-  std::string ready = "GET /-/ready HTTP/1.1\r\n";
+  std::string valid = MakeRequest("quote");
+  std::string oversized_body(64 * 1024 + 1, 'b');
+  std::string readiness_head = "GET /-/ready HTTP/1.1\r\n";
   return {
       {"no http at all\r\n\r\n", 400},
       {"GET /quote HTTP/9.9\r\n\r\n", 400},
-      {Without(good, "Request-Id"), 400},
-      {Without(good, "X-Tier"), 400},
-      {Without(good, "Cookie"), 400},
-      {Without(good, "Request-Timeout-Ms"), 400},
-      {Without(good, "X-Call-Terms"), 400},
-      {Without(MakeRequest("save-scenario"), "Idempotency-Key"), 400},
-      {With(good, "business", "unheard-of"), 400},
-      {With(good, "/quote", "/unheard-of"), 400},
-      {With(good, "client=00000000b4d65521", "client=xyz"), 400},
-      {With(good, "Ms: 3000", "Ms: soon"), 400},
-      {With(good, "Ms: 3000", "Ms: -5"), 400},
-      {With(good, "units=1", "units=nan"), 400},
-      {With(good, "units=1", "units=-1"), 400},
-      {With(good, "spread=1", "spread=0"), 400},
-      {With(good, "spread=1", "spread=3"), 400},
-      {With(good, "spread=1", "spread=1.5"), 400},
-      {With(good, "units=1", "units=8.5"), 400},
-      {With(good, "units=1", "units=1,units=2"), 400},
-      {With(good, "first=0", "first=2"), 400},
-      {With(good, "first=0", "first=-1"), 400},
-      {With(good, ",first=0", ""), 400},
-      {With(good, "Ms: 3000", "Ms: 9999999"), 400},
-      {With(good, "client=00000000b4d65521", "client=0000000200000000"), 400},
-      {With(good, "client=00000000b4d65521", "client=1; client=2"), 400},
-      {With(good, "X-Tier: business", "X-Tier: business\r\nX-Tier: small"), 400},
-      {With(good, "Host", "Request-Id: 7\r\nHost"), 400},
-      {std::string(100, '\n') + good, 400},
-      {With(good, "GET", "POST"), 405},
+      {WithoutField(valid, "Request-Id"), 400},
+      {WithoutField(valid, "X-Tier"), 400},
+      {WithoutField(valid, "Cookie"), 400},
+      {WithoutField(valid, "Request-Timeout-Ms"), 400},
+      {WithoutField(valid, "X-Call-Terms"), 400},
+      {WithoutField(MakeRequest("save-scenario"), "Idempotency-Key"), 400},
+      {WithReplaced(valid, "business", "unheard-of"), 400},
+      {WithReplaced(valid, "/quote", "/unheard-of"), 400},
+      {WithReplaced(valid, "client=00000000b4d65521", "client=xyz"), 400},
+      {WithReplaced(valid, "Ms: 3000", "Ms: soon"), 400},
+      {WithReplaced(valid, "Ms: 3000", "Ms: -5"), 400},
+      {WithReplaced(valid, "units=1", "units=nan"), 400},
+      {WithReplaced(valid, "units=1", "units=-1"), 400},
+      {WithReplaced(valid, "spread=1", "spread=0"), 400},
+      {WithReplaced(valid, "spread=1", "spread=3"), 400},
+      {WithReplaced(valid, "spread=1", "spread=1.5"), 400},
+      {WithReplaced(valid, "units=1", "units=8.5"), 400},
+      {WithReplaced(valid, "units=1", "units=1,units=2"), 400},
+      {WithReplaced(valid, "first=0", "first=2"), 400},
+      {WithReplaced(valid, "first=0", "first=-1"), 400},
+      {WithReplaced(valid, ",first=0", ""), 400},
+      {WithReplaced(valid, "Ms: 3000", "Ms: 9999999"), 400},
+      {WithReplaced(valid, "client=00000000b4d65521", "client=0000000200000000"), 400},
+      {WithReplaced(valid, "client=00000000b4d65521", "client=1; client=2"), 400},
+      {WithReplaced(valid, "X-Tier: business", "X-Tier: business\r\nX-Tier: small"), 400},
+      {WithReplaced(valid, "Host", "Request-Id: 7\r\nHost"), 400},
+      {std::string(100, '\n') + valid, 400},
+      {WithReplaced(valid, "GET", "POST"), 405},
       {"GET /-/other HTTP/1.1\r\nHost: x\r\n\r\n", 404},
-      {MakeRequest("send-lead", 1, 3000, "", big), 413},
-      {ready + "X-Large: " + std::string(40000, 'h') + "\r\n\r\n", 431},
-      {ready + "Content-Length: many\r\n\r\n", 400},
+      {MakeRequest("send-lead", 1, 3000, "", oversized_body), 413},
+      {readiness_head + "X-Large: " + std::string(40000, 'h') + "\r\n\r\n", 431},
+      {readiness_head + "Content-Length: many\r\n\r\n", 400},
   };
 }
 
-// Clients send fields that are missing, repeated, unreadable or out of bounds, unknown paths, wrong methods
-// and parts past their limits. One of them taken as valid could charge another tenant's quota, or count
-// without bound.
-TEST(RequestParser, RejectsInvalidRequestsAndGoesOn) {
+// Clients send fields that are missing, repeated, malformed or out of range, unknown paths, wrong methods,
+// and heads or bodies that are too large. If one of these requests were accepted, it could be charged to the
+// quota of another tenant, or its cost could be unbounded.
+TEST(RequestParser, RejectsInvalidRequestsAndKeepsServing) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
-  for (const auto& [text, status] : InvalidRequests()) {
+  for (const auto& [request, status] : InvalidRequests()) {
     auto client = fixture.gateway->Connect();
-    EXPECT_EQ(Exchange(*client, text).status(), status) << text.substr(0, 300);
+    EXPECT_EQ(Exchange(*client, request).status(), status) << request.substr(0, 300);
   }
   EXPECT_EQ(backend.requests.count(), 0);
-  std::string good = MakeRequest("quote");
+  std::string valid = MakeRequest("quote");
   auto client = fixture.gateway->Connect();
-  EXPECT_EQ(Exchange(*client, Without(good, "X-Tier")).status(), 400);
-  EXPECT_EQ(Exchange(*client, good).status(), 200) << "the framing was sound, so the connection goes on";
+  EXPECT_EQ(Exchange(*client, WithoutField(valid, "X-Tier")).status(), 400);
+  EXPECT_EQ(Exchange(*client, valid).status(), 200)
+      << "the framing of the invalid request was valid, so its connection stays open";
 }
 
 constexpr char kTransferEncoding[] = "Transfer-Encoding: ";
 
-// The request line and fields of a valid request, without the empty line that ends them.
-std::string OpenHead() {
+// Returns the request line and field lines of a valid request, without the empty line that ends the head.
+std::string UnterminatedHead() {
   std::string head = MakeRequest("send-lead");
   head.resize(head.size() - 2);
   return head;
 }
 
-// Field lines that leave the length of a body in doubt; `length` is a sound Content-Length.
+// Returns field lines that make the length of the body ambiguous. `length` is the line of a valid
+// Content-Length.
 std::vector<std::string> AmbiguousFraming(const std::string& length) {
   std::string coding = kTransferEncoding;
   std::string chunked = "chunked\r\n";
@@ -115,17 +120,17 @@
           "Content-Length : 3\r\n" + length};
 }
 
-// Request smuggling: the length of a body is given so that two readers may take it in two ways, and a second
-// request is hidden in the bytes that they disagree on. Each gets an error and a close, and nothing of it is
-// forwarded.
+// Request smuggling: two parsers may read the length of the body differently, and a second request is hidden
+// in the bytes on which they disagree. If the gateway forwarded such a request, a backend might run the
+// hidden one. The gateway must answer with an error, close the connection and forward nothing.
 TEST(RequestParser, RejectsAmbiguousFramingAndCloses) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
-  std::string hidden = MakeRequest("send-lead");
-  std::string length = "Content-Length: " + std::to_string(hidden.size()) + "\r\n";
+  std::string hidden_request = MakeRequest("send-lead");
+  std::string length = "Content-Length: " + std::to_string(hidden_request.size()) + "\r\n";
   for (const std::string& lines : AmbiguousFraming(length)) {
-    std::string request = OpenHead();
-    request.append(lines).append("\r\n").append(hidden);
+    std::string request = UnterminatedHead();
+    request.append(lines).append("\r\n").append(hidden_request);
     auto client = fixture.gateway->Connect();
     EXPECT_EQ(Exchange(*client, request).status(), 400) << lines;
     EXPECT_TRUE(client->AwaitEnd()) << lines;
@@ -133,22 +138,23 @@
   EXPECT_EQ(backend.requests.count(), 0);
 }
 
-// Chunks whose size cannot be read or does not hold, with a second request behind them, and bodies past the
-// limit, chunked or announced.
-TEST(RequestParser, RejectsInvalidChunksAndBodiesPastTheLimit) {
+// Clients send chunks whose size is malformed or wrong, followed by a hidden second request, and bodies above
+// the size limit, either chunked or with a Content-Length. If one of them were accepted, a hidden request or
+// an oversized body would reach a backend.
+TEST(RequestParser, RejectsInvalidChunksAndOversizedBodies) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
-  std::string hidden = MakeRequest("send-lead");
-  std::string big(64 * 1024 + 1, 'b');
-  std::string chunked = OpenHead() + kTransferEncoding + "chunked\r\n\r\n";
+  std::string hidden_request = MakeRequest("send-lead");
+  std::string oversized_body(64 * 1024 + 1, 'b');
+  std::string chunked = UnterminatedHead() + kTransferEncoding + "chunked\r\n\r\n";
   for (const char* body : {"zz\r\n", "-1\r\n", "ffffffffffffffffff\r\n", "3\r\nabcd\r\n"}) {
     std::string request = chunked;
-    request.append(body).append(hidden);
+    request.append(body).append(hidden_request);
     EXPECT_EQ(Exchange(*fixture.gateway->Connect(), request).status(), 400) << body;
   }
   EXPECT_EQ(Exchange(*fixture.gateway->Connect(), chunked + "fffff\r\n").status(), 413);
-  std::string announced = OpenHead() + "Content-Length: 62914560\r\n\r\n";
-  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), announced + big).status(), 413);
+  std::string with_content_length = UnterminatedHead() + "Content-Length: 62914560\r\n\r\n";
+  EXPECT_EQ(Exchange(*fixture.gateway->Connect(), with_content_length + oversized_body).status(), 413);
   EXPECT_EQ(backend.requests.count(), 0);
 }
 
