--- a/tests/net/client_server_test.cpp
+++ b/tests/net/client_server_test.cpp
@@ -74,7 +74,7 @@
 // The connection limit is reached when a client connects. One session has an incomplete request, whose last
 // bytes have been received but not read yet. If the session were evicted, a request that the gateway has
 // received would get no response.
-TEST(ClientServer, DoesNotEvictARequestWhoseLastBytesAreUnread) {
+TEST(ClientServer, DoesNotEvictASessionWhoseLastBytesAreUnread) {
   ClientServerFixture fixture(2);
   std::string request = Post("body");
   auto incomplete = fixture.Connect();
@@ -90,7 +90,7 @@
 
 // The connection limit is reached when a client connects. A session with an incomplete request and no unread
 // bytes must be evicted, or clients that never complete a request could lock out new ones.
-TEST(ClientServer, EvictsAnIncompleteRequest) {
+TEST(ClientServer, EvictsASessionWithAnIncompleteRequest) {
   ClientServerFixture fixture(2);
   auto incomplete = fixture.Connect();
   incomplete->Write(Post("body").substr(0, 20));
--- a/tests/net/counter_client_test.cpp
+++ b/tests/net/counter_client_test.cpp
@@ -75,7 +75,7 @@
 }
 
 // Calls fail in three ways: they are rejected, no connection can be established, or the connection ends after
-// they have been written. Only in the last case, the amount may have been added. If the cases were confused,
+// they have been written. Only in the last case may the amount have been added. If the cases were confused,
 // an amount would be counted twice or not at all.
 TEST(CounterClient, DistinguishesAmountsNotAddedFromAmountsPossiblyAdded) {
   StubCounter busy_counter([](const std::string&, double) { return std::string("-BUSY\r\n"); });
--- a/tests/net/discovery_client_test.cpp
+++ b/tests/net/discovery_client_test.cpp
@@ -35,12 +35,12 @@
     client->Start();
     AcceptConnection();
   }
-  // Accepts the next_agent connection of the client.
+  // Accepts the next connection of the client.
   void AcceptConnection() {
     RunUntil([&] { return listener.HasPending(); });
     connection = listener.Accept();
   }
-  // Waits for the next_agent poll or watch of the client and returns its head.
+  // Waits for the next poll or watch of the client and returns its head.
   std::string ReceivePoll() {
     pollfd ready{connection->fd(), POLLIN, 0};
     RunUntil([&] { return poll(&ready, 1, 0) > 0; });
@@ -65,9 +65,9 @@
 };
 
 // A backend starts to drain while no watch is open, or while a watch hangs, so that the gateway reads the
-// change late. The grace of the backend elapses nevertheless. A change therefore counts as notified from the
-// agent's previous response on, or from the start of the gateway if there is none; counted from the reading
-// of the list, the gateway would send requests past the grace.
+// change late. The grace of the backend elapses nevertheless. A change therefore counts as notified since the
+// agent's previous response, or since the start of the gateway if there was none. If the grace were counted
+// from the time at which the list is read, requests would be sent past it.
 TEST(DiscoveryClient, CountsAChangeAsNotifiedSinceTheLastResponse) {
   auto before_start = Clock::now();
   DiscoveryFixture fixture;
@@ -153,7 +153,7 @@
 }
 
 // An exchange is reset, is truncated, hangs after half a response, or returns an error status, invalid HTTP
-// or a body that is no list. After each of these failures the next exchange must start, and after
+// or a body that is not a list. After each of these failures the next exchange must start, and after
 // several consecutive failures the client must poll the full list.
 TEST(DiscoveryClient, PollsAgainAfterAnyFailureOfAnExchange) {
   std::vector<std::pair<std::string, std::function<void(DiscoveryFixture&)>>> failures = {
--- a/tests/support/controlled_clock.h
+++ b/tests/support/controlled_clock.h
@@ -16,7 +16,7 @@
 inline constexpr char kControlledClockVariable[] = "TEST_CONTROLLED_CLOCK";
 
 struct ControlledClock {
-  std::atomic<bool> frozen;                 // keeps the time of the process's first reading
+  std::atomic<bool> frozen;                 // the clock stays at the process's first reading
   std::atomic<int64_t> monotonic_readings;  // number of readings of CLOCK_MONOTONIC
   std::atomic<int64_t> event_loop_waits;    // number of calls of epoll_wait
   std::atomic<int64_t> other_timed_waits;   // number of calls of nanosleep, and of poll with a timeout
--- a/tests/support/event.h
+++ b/tests/support/event.h
@@ -10,7 +10,7 @@
 
 namespace gateway::test_support {
 
-// Counts occurrences that any thread reports and any thread can wait for.
+// Counts the occurrences of an event. Any thread may report one or wait for them.
 class Event {
  public:
   void Add() {
--- a/tests/support/stub_counter.h
+++ b/tests/support/stub_counter.h
@@ -17,7 +17,7 @@
 namespace gateway::test_support {
 
 // Answers each call with the text that `respond(name, amount)` returns; an empty text leaves the call without
-// a reply. `respond` is called on the connection's thread, for one call of a connection after the other.
+// a reply. `respond` is called on the connection's thread, for one call at a time.
 class StubCounter {
  public:
   using Responder = std::function<std::string(const std::string&, double)>;
--- a/tests/support/unresponsive_policy.cpp
+++ b/tests/support/unresponsive_policy.cpp
@@ -1,5 +1,5 @@
-// An admission policy that never answers a request, linked in place of the real one. It has the fault against
-// which the gateway's own deadline guards. It forwards each request of the class with an idempotency key
+// An admission policy that never answers a request, linked in place of the real one. The gateway's own
+// deadline guards against this fault. The policy forwards each request of the class with an idempotency key
 // once, to the last backend of the endpoint list.
 #include "policy/admission_policy.h"
 
