--- a/tests/policy/admission_policy_test.cpp
+++ b/tests/policy/admission_policy_test.cpp
@@ -24,7 +24,7 @@
 // one, before its own deadline: later nobody reads it.
 TEST(AdmissionPolicy, FinalAnswerComesBeforeTheClientGivesUp) {
   PolicyFixture gateway(MakeSettings());
-  const uint32_t request = gateway.Arrive({.request_class = kNonIdempotentClass, .time_left_s = 0.2});
+  const uint32_t request = gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 0.2});
   const auto* timer = gateway.Find<StartTimer>();
   ASSERT_NE(timer, nullptr);
   EXPECT_LT(timer->delay_s, 0.2);
@@ -43,7 +43,7 @@
 TEST(AdmissionPolicy, WaitingRequestIsDecidedOnceWhenTheCounterFails) {
   for (CallResult result : {CallResult::kTimeout, CallResult::kRejected, CallResult::kConnectFailed}) {
     PolicyFixture gateway(MakeLargeFleetSettings());
-    gateway.Arrive({.cost_units = 2, .ingress_gateways = 100});
+    gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
     const auto* call = gateway.Find<CallCounter>();
     ASSERT_NE(call, nullptr);
     gateway.Advance(0.03);
@@ -56,7 +56,7 @@
 // capacity and quota, and have effects, for an answer that nobody reads.
 TEST(AdmissionPolicy, WaitingRequestOfADisconnectedClientIsNotForwarded) {
   PolicyFixture gateway(MakeLargeFleetSettings());
-  const uint32_t request = gateway.Arrive({.cost_units = 2, .ingress_gateways = 100});
+  const uint32_t request = gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
   const uint64_t key = call->key;
@@ -76,8 +76,8 @@
   PolicyFixture gateway(settings);
   uint64_t tenant = 9;  // a new one each time: a call for the previous one may be in flight
   for (double total : {-5.0, kNan, kInfinity}) {
-    gateway.ReplyFromCounter(12345, total);                          // a key that nobody asked for
-    gateway.Arrive({.tenant = tenant++, .ingress_gateways = 1000});  // more than there are gateways
+    gateway.ReplyFromCounter(12345, total);                               // a key that nobody asked for
+    gateway.SendRequest({.tenant = tenant++, .ingress_gateways = 1000});  // more than there are gateways
     const auto* call = gateway.Find<CallCounter>();
     ASSERT_NE(call, nullptr);
     gateway.Advance(6);
@@ -85,7 +85,7 @@
     gateway.Advance(0.001);
   }
   gateway.UpdateEndpoints(EndpointUpdateKind::kFull, {});
-  gateway.Arrive({.tenant = 77});
+  gateway.SendRequest({.tenant = 77});
   EXPECT_TRUE(gateway.Rejected());
   gateway.UpdateEndpoints(EndpointUpdateKind::kFull, {{.id = kFirstBackendId}});
   EXPECT_TRUE(gateway.ServeRequest({.tenant = 78}));
@@ -94,17 +94,17 @@
 TEST(AdmissionPolicy, InvalidRequestsAreRejected) {
   PolicyFixture gateway(MakeSettings());
   for (double cost_units : {0.0, -1.0, kNan, kInfinity}) {
-    gateway.Arrive({.cost_units = cost_units});
+    gateway.SendRequest({.cost_units = cost_units});
     EXPECT_TRUE(gateway.Rejected());
   }
   for (double time_left_s : {0.0, -1.0, kNan}) {
-    gateway.Arrive({.time_left_s = time_left_s});
+    gateway.SendRequest({.time_left_s = time_left_s});
     EXPECT_TRUE(gateway.Rejected());
   }
-  gateway.Arrive({.request_class = 9});
+  gateway.SendRequest({.request_class = 9});
   EXPECT_TRUE(gateway.Rejected());
   PolicyFixture gateway_without_backends(MakeSettings(), {.endpoints = MakeEndpoints(0)});
-  gateway_without_backends.Arrive();
+  gateway_without_backends.SendRequest();
   EXPECT_TRUE(gateway_without_backends.Rejected());
 }
 
--- a/tests/policy/concurrency_limiter_test.cpp
+++ b/tests/policy/concurrency_limiter_test.cpp
@@ -16,7 +16,7 @@
 std::vector<uint32_t> ForwardUpToTheLimit(PolicyFixture* gateway, uint64_t first_tenant) {
   std::vector<uint32_t> forwarded;
   for (uint64_t i = 0; i < 50; ++i) {
-    const uint32_t request = gateway->Arrive({.time_left_s = 1.4, .tenant = first_tenant + i});
+    const uint32_t request = gateway->SendRequest({.time_left_s = 1.4, .tenant = first_tenant + i});
     if (gateway->Forwarded()) forwarded.push_back(request);
   }
   return forwarded;
--- a/tests/policy/concurrency_quota_test.cpp
+++ b/tests/policy/concurrency_quota_test.cpp
@@ -23,14 +23,14 @@
 
 TEST(ConcurrencyQuota, CountsThisGatewaysAttemptsInFlight) {
   PolicyFixture gateway(WithConcurrencyQuota(MakeSettings()));
-  const uint32_t first = gateway.Arrive();
+  const uint32_t first = gateway.SendRequest();
   ASSERT_TRUE(gateway.Forwarded());
-  gateway.Arrive();
+  gateway.SendRequest();
   ASSERT_TRUE(gateway.Forwarded());
-  gateway.Arrive();
+  gateway.SendRequest();
   EXPECT_FALSE(gateway.Forwarded());
   gateway.CompleteAttempt(first, CallResult::kOk);
-  gateway.Arrive();
+  gateway.SendRequest();
   EXPECT_TRUE(gateway.Forwarded());
 }
 
@@ -39,30 +39,30 @@
 // counted for other gateways fades within seconds.
 TEST(ConcurrencyQuota, AttemptsOfOtherGatewaysComeFromTheCounterAndFade) {
   PolicyFixture gateway(WithConcurrencyQuota(MakeSettings()));
-  const uint32_t first = gateway.Arrive({.ingress_gateways = 2});
+  const uint32_t first = gateway.SendRequest({.ingress_gateways = 2});
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
   EXPECT_EQ(call->amount, 1);
   const uint64_t key = call->key;
   gateway.ReplyFromCounter(key, 2);  // this gateway's attempt, and one of another gateway
-  gateway.Arrive({.ingress_gateways = 2});
+  gateway.SendRequest({.ingress_gateways = 2});
   EXPECT_FALSE(gateway.Forwarded());
   gateway.CompleteAttempt(first, CallResult::kOk);
   const auto* decrement = gateway.Find<CallCounter>();
   ASSERT_NE(decrement, nullptr);
   EXPECT_EQ(decrement->amount, -1);
   gateway.ReplyFromCounter(key, 2);
-  gateway.Arrive({.ingress_gateways = 2});
+  gateway.SendRequest({.ingress_gateways = 2});
   EXPECT_FALSE(gateway.Forwarded());
   gateway.Advance(3);
-  gateway.Arrive({.ingress_gateways = 2});
+  gateway.SendRequest({.ingress_gateways = 2});
   EXPECT_TRUE(gateway.Forwarded());
 }
 
 TEST(ConcurrencyQuota, WaitingRequestIsDecidedByTheCounterReply) {
   for (double total : {2.0, 3.0}) {
     PolicyFixture gateway(WithConcurrencyQuota(MakeLargeFleetSettings()));
-    gateway.Arrive({.ingress_gateways = 100});
+    gateway.SendRequest({.ingress_gateways = 100});
     EXPECT_FALSE(gateway.Forwarded());
     const auto* call = gateway.Find<CallCounter>();
     ASSERT_NE(call, nullptr);
@@ -80,7 +80,7 @@
   settings.plans[0].max_concurrent_attempts = 2;
   for (double attempts : {2.0, 3.0}) {  // with the waiting request
     PolicyFixture gateway(settings);
-    gateway.Arrive({.cost_units = 1, .ingress_gateways = 100});
+    gateway.SendRequest({.cost_units = 1, .ingress_gateways = 100});
     EXPECT_FALSE(gateway.Forwarded());
     std::vector<CallCounter> calls;
     for (const Action& action : gateway.actions()) {
--- a/tests/policy/counter_schedule_test.cpp
+++ b/tests/policy/counter_schedule_test.cpp
@@ -61,7 +61,7 @@
 // A request of a tenant with two ingress gateways arrives, and a call to the counter that it leads to times
 // out at once. Counts the call; returns whether the request was forwarded, before or after the timeout.
 bool ServeWhileTheCounterIsSilent(PolicyFixture* gateway, int* calls) {
-  const uint32_t request = gateway->Arrive({.ingress_gateways = 2});
+  const uint32_t request = gateway->SendRequest({.ingress_gateways = 2});
   bool forwarded = gateway->Forwarded();
   if (const auto* call = gateway->Find<CallCounter>()) {
     ++*calls;
@@ -91,7 +91,7 @@
 
 TEST(CounterSchedule, RequestIsCountedFirstAndForwardedOnTheReply) {
   PolicyFixture gateway(MakeLargeFleetSettings());
-  gateway.Arrive({.cost_units = 2, .ingress_gateways = 100});
+  gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   EXPECT_FALSE(gateway.Forwarded());
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
@@ -104,7 +104,7 @@
 // A request whose client gives up soon cannot wait for the counter's timeout, and is decided on arrival.
 TEST(CounterSchedule, RequestWithLittleTimeLeftIsDecidedAtOnce) {
   PolicyFixture gateway(MakeLargeFleetSettings());
-  gateway.Arrive({.cost_units = 2, .time_left_s = 0.1, .ingress_gateways = 100});
+  gateway.SendRequest({.cost_units = 2, .time_left_s = 0.1, .ingress_gateways = 100});
   EXPECT_NE(gateway.Forwarded(), gateway.Rejected());
 }
 
@@ -122,7 +122,7 @@
   for (int i = 0; i < 400; ++i) {
     gateway.Advance(0.25);
     const uint32_t request =
-        gateway.Arrive({.tenant = 1000 + static_cast<uint64_t>(i), .ingress_gateways = 100});
+        gateway.SendRequest({.tenant = 1000 + static_cast<uint64_t>(i), .ingress_gateways = 100});
     const auto* call = gateway.Find<CallCounter>();
     if (call != nullptr && !gateway.Forwarded()) {
       ++calls;
@@ -159,7 +159,7 @@
 void RaiseThePriceOfCalls(PolicyFixture* gateway) {
   int late_replies = 0;
   for (uint64_t i = 0; i < 100 && late_replies < 10; ++i) {
-    gateway->Arrive({.tenant = 100 + i, .ingress_gateways = 100});
+    gateway->SendRequest({.tenant = 100 + i, .ingress_gateways = 100});
     const auto* call = gateway->Find<CallCounter>();
     gateway->Advance(0.06);
     if (call == nullptr) continue;
@@ -172,7 +172,7 @@
 // Lets a request of the tenant arrive, and serves it if it is forwarded. Returns whether it was rejected, so
 // that it neither was forwarded nor waits for the counter.
 bool IsRejectedOnArrival(PolicyFixture* gateway, uint64_t tenant) {
-  const uint32_t request = gateway->Arrive({.tenant = tenant, .ingress_gateways = 100});
+  const uint32_t request = gateway->SendRequest({.tenant = tenant, .ingress_gateways = 100});
   const bool rejected = gateway->Rejected();
   if (gateway->Forwarded()) gateway->CompleteAttempt(request, CallResult::kOk);
   return rejected;
@@ -203,7 +203,7 @@
   Settings settings = MakeLargeFleetSettings();
   settings.plans[0].max_concurrent_attempts = 2;
   PolicyFixture gateway(settings);
-  const uint32_t request = gateway.Arrive({.ingress_gateways = 100});
+  const uint32_t request = gateway.SendRequest({.ingress_gateways = 100});
   std::vector<uint64_t> keys;
   for (const Action& action : gateway.actions()) {
     if (const auto* call = std::get_if<CallCounter>(&action)) keys.push_back(call->key);
@@ -213,7 +213,7 @@
   gateway.ReplyFromCounter(keys[1], 5);
   ASSERT_TRUE(gateway.Forwarded());
   for (uint64_t tenant = 100; tenant < 200; ++tenant) {  // each call of another tenant fails
-    gateway.Arrive({.tenant = tenant, .ingress_gateways = 100});
+    gateway.SendRequest({.tenant = tenant, .ingress_gateways = 100});
     const auto* call = gateway.Find<CallCounter>();
     if (call != nullptr) gateway.FailCounterCall(call->key, CallResult::kRejected);
   }
--- a/tests/policy/demand_share_test.cpp
+++ b/tests/policy/demand_share_test.cpp
@@ -59,7 +59,7 @@
   for (int i = 0; i < 100; ++i) {
     gateway.SetTime(100 + i * 0.02);
     ServeFiveNewTenants(&gateway, &next_tenant);
-    const uint32_t request = gateway.Arrive({.tenant = 1000 + static_cast<uint64_t>(i)});
+    const uint32_t request = gateway.SendRequest({.tenant = 1000 + static_cast<uint64_t>(i)});
     ASSERT_TRUE(gateway.Forwarded());
     const bool is_overloaded = i % 5 == 0;
     gateway.CompleteAttempt(request, is_overloaded ? CallResult::kRejected : CallResult::kOk);
@@ -78,14 +78,14 @@
   settings.plans[0].burst_units = 0;
   settings.plans[0].max_concurrent_attempts = 2;
   PolicyFixture gateway(settings);
-  const uint32_t slow = gateway.Arrive({.tenant = 77});
+  const uint32_t slow = gateway.SendRequest({.tenant = 77});
   gateway.Advance(settings.classes[0].latency_objective_s + 0.1);
   for (int i = 0; i < 3; ++i) {
-    gateway.Arrive();
+    gateway.SendRequest();
     EXPECT_TRUE(gateway.Forwarded()) << "the third is borrowed";
   }
   gateway.CompleteAttempt(slow, CallResult::kOk);  // past its latency objective: there is pressure
-  gateway.Arrive();
+  gateway.SendRequest();
   ASSERT_TRUE(gateway.Rejected());
   EXPECT_EQ(gateway.Find<RejectRequest>()->reason, RejectReason::kOverQuota);
 }
--- a/tests/policy/endpoint_selector_test.cpp
+++ b/tests/policy/endpoint_selector_test.cpp
@@ -15,7 +15,7 @@
 // the retry goes to another one.
 TEST(EndpointSelector, RetryAfterAnErrorGoesToAnotherBackend) {
   PolicyFixture gateway(MakeSettings());
-  const uint32_t request = gateway.Arrive();
+  const uint32_t request = gateway.SendRequest();
   const std::optional<uint32_t> first_backend = gateway.ForwardedTo();
   gateway.CompleteAttempt(request, CallResult::kError);
   ASSERT_TRUE(gateway.Forwarded());
--- a/tests/policy/endpoint_set_test.cpp
+++ b/tests/policy/endpoint_set_test.cpp
@@ -19,13 +19,13 @@
   gateway.UpdateEndpoints(EndpointUpdateKind::kDelta,
                           {{.id = kFirstBackendId, .state = EndpointState::kDraining}});
   for (uint64_t tenant = 20; tenant < 23; ++tenant) {
-    gateway.Arrive({.tenant = tenant});
+    gateway.SendRequest({.tenant = tenant});
     ASSERT_TRUE(gateway.Forwarded());
     EXPECT_EQ(gateway.ForwardedTo(), kSecondBackendId);
   }
   gateway.UpdateEndpoints(EndpointUpdateKind::kDelta,
                           {{.id = kSecondBackendId, .state = EndpointState::kRemoved}});
-  gateway.Arrive({.tenant = 40});
+  gateway.SendRequest({.tenant = 40});
   EXPECT_FALSE(gateway.Forwarded());
   EXPECT_TRUE(gateway.Rejected());
 }
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -27,9 +27,9 @@
   int low_priority_forwarded = 0;
   int high_priority_forwarded = 0;
   for (int i = 0; i < 20; ++i) {
-    gateway.Arrive({.request_class = kLowPriorityClass, .tenant = next_tenant++});
+    gateway.SendRequest({.request_class = kLowPriorityClass, .tenant = next_tenant++});
     low_priority_forwarded += gateway.Forwarded() ? 1 : 0;
-    gateway.Arrive({.request_class = kHighPriorityClass, .tenant = next_tenant++});
+    gateway.SendRequest({.request_class = kHighPriorityClass, .tenant = next_tenant++});
     high_priority_forwarded += gateway.Forwarded() ? 1 : 0;
   }
   EXPECT_GE(high_priority_forwarded, low_priority_forwarded + 2);
@@ -43,7 +43,8 @@
   PolicyFixture gateway(settings, {.endpoints = MakeEndpoints(100)});
   int forwarded = 0;
   for (int i = 0; i < 200; ++i) {
-    const uint32_t request = gateway.Arrive({.time_left_s = 1.4, .tenant = 1000 + static_cast<uint64_t>(i)});
+    const uint32_t request =
+        gateway.SendRequest({.time_left_s = 1.4, .tenant = 1000 + static_cast<uint64_t>(i)});
     const bool is_forwarded = gateway.Forwarded();
     gateway.Advance(latency_s);
     if (is_forwarded) gateway.CompleteAttempt(request, CallResult::kOk);
@@ -73,7 +74,7 @@
   for (int round = 0; round < kRounds; ++round) {
     std::vector<uint32_t> in_flight;
     for (int i = 0; i < kRequestsPerRound; ++i) {
-      const uint32_t request = gateway.Arrive({.time_left_s = 3, .tenant = next_tenant++});
+      const uint32_t request = gateway.SendRequest({.time_left_s = 3, .tenant = next_tenant++});
       if (gateway.Forwarded()) in_flight.push_back(request);
     }
     gateway.Advance(latency_s);
@@ -106,9 +107,9 @@
   PolicyFixture gateway(settings, {.endpoints = MakeEndpoints(100)});
   // A request that is attempted once at most, and has less time left than the first one.
   const auto arrive_late = [&gateway](uint64_t tenant) {
-    return gateway.Arrive({.request_class = kNonIdempotentClass, .time_left_s = 0.8, .tenant = tenant});
+    return gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 0.8, .tenant = tenant});
   };
-  const uint32_t first = gateway.Arrive({.request_class = kNonIdempotentClass, .time_left_s = 1.4});
+  const uint32_t first = gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 1.4});
   gateway.CompleteAttempt(first, CallResult::kOk);
   for (uint64_t i = 0; i < 400; ++i) {
     const uint32_t request = arrive_late(1000 + i);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -21,7 +21,7 @@
   int attempts_at_failing_backend = 0;
   for (uint64_t tenant = 100; tenant < 160; ++tenant) {
     gateway.Advance(0.005);
-    const uint32_t request = gateway.Arrive({.request_class = kNonIdempotentClass, .tenant = tenant});
+    const uint32_t request = gateway.SendRequest({.request_class = kNonIdempotentClass, .tenant = tenant});
     ASSERT_TRUE(gateway.Forwarded());
     const bool is_failing = gateway.ForwardedTo() == kFirstBackendId;
     attempts_at_failing_backend += is_failing ? 1 : 0;
@@ -40,7 +40,7 @@
   for (uint64_t tenant = 100; tenant < 160; ++tenant) {
     gateway.Advance(0.002);
     const uint32_t request =
-        gateway.Arrive({.request_class = kNonIdempotentClass, .time_left_s = 1.4, .tenant = tenant});
+        gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 1.4, .tenant = tenant});
     const std::optional<uint32_t> backend = gateway.ForwardedTo();
     not_forwarded += backend.has_value() ? 0 : 1;
     if (backend.has_value() && *backend < kFirstHealthyBackendId) {
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -25,7 +25,7 @@
 // retried in the cell within the window, and after that it fails, for a rejection would invite a repeat.
 TEST(RetryPolicy, RequestWithIdempotencyKeyIsRetriedInItsCellAndWindowOnly) {
   PolicyFixture gateway(MakeSettings());
-  const uint32_t request = gateway.Arrive({.request_class = kIdempotencyKeyClass, .time_left_s = 1.45});
+  const uint32_t request = gateway.SendRequest({.request_class = kIdempotencyKeyClass, .time_left_s = 1.45});
   const uint32_t first_cell = ForwardedToCell(gateway);
   gateway.CompleteAttempt(request, CallResult::kError);
   ASSERT_TRUE(gateway.Forwarded());
@@ -44,7 +44,8 @@
   settings.connect_timeout_s = 0.3;
   for (double error_after_s : {0.8, 1.0}) {
     PolicyFixture gateway(settings);
-    const uint32_t request = gateway.Arrive({.request_class = kIdempotencyKeyClass, .time_left_s = 1.45});
+    const uint32_t request =
+        gateway.SendRequest({.request_class = kIdempotencyKeyClass, .time_left_s = 1.45});
     gateway.Advance(error_after_s);
     gateway.CompleteAttempt(request, CallResult::kError);
     EXPECT_EQ(gateway.Forwarded(), error_after_s < 0.9) << "of a window of 1.2 s";
@@ -55,7 +56,7 @@
 // run it, a retry could repeat its effect, and a rejection would invite the client to: it fails.
 TEST(RetryPolicy, NonIdempotentRequestFailsOnceItMayHaveRun) {
   PolicyFixture gateway(MakeSettings());
-  const uint32_t request = gateway.Arrive({.request_class = kNonIdempotentClass});
+  const uint32_t request = gateway.SendRequest({.request_class = kNonIdempotentClass});
   gateway.CompleteAttempt(request, CallResult::kRejected);
   ASSERT_TRUE(gateway.Forwarded());
   gateway.CompleteAttempt(request, CallResult::kReset);
@@ -68,7 +69,7 @@
   Settings settings = MakeSettings();
   settings.max_attempts = 2;
   PolicyFixture gateway(settings);
-  const uint32_t request = gateway.Arrive();
+  const uint32_t request = gateway.SendRequest();
   gateway.CompleteAttempt(request, CallResult::kRejected);
   ASSERT_TRUE(gateway.Forwarded());
   gateway.CompleteAttempt(request, CallResult::kRejected);
@@ -80,7 +81,7 @@
 // wait there until its deadline. Its timer cancels the attempt in time for a retry at another backend.
 TEST(RetryPolicy, SilentBackendIsGivenUpForAnother) {
   PolicyFixture gateway(MakeSettings());
-  const uint32_t request = gateway.Arrive({.time_left_s = 1.4});
+  const uint32_t request = gateway.SendRequest({.time_left_s = 1.4});
   const std::optional<uint32_t> silent_backend = gateway.ForwardedTo();
   const auto* timer = gateway.Find<StartTimer>();
   ASSERT_NE(timer, nullptr);
@@ -98,7 +99,7 @@
   Settings settings = MakeSettings();
   settings.hedging_enabled = true;
   PolicyFixture gateway(settings);
-  const uint32_t request = gateway.Arrive({.time_left_s = 3});
+  const uint32_t request = gateway.SendRequest({.time_left_s = 3});
   ASSERT_TRUE(gateway.Forwarded());
   const double check_delay_s = gateway.Find<StartTimer>()->delay_s;
   gateway.Stall(check_delay_s);
@@ -122,7 +123,7 @@
     gateway.ServeOneAtATime(0.05, 20);
     const double check_delay_s = 0.5 * settings.classes[0].latency_objective_s;
     const double left_s = time_for_another ? 0.5 : 0.02;
-    const uint32_t request = gateway.Arrive({.time_left_s = check_delay_s + left_s, .tenant = 1});
+    const uint32_t request = gateway.SendRequest({.time_left_s = check_delay_s + left_s, .tenant = 1});
     ASSERT_TRUE(gateway.Forwarded());
     gateway.Advance(check_delay_s);
     gateway.FireTimer(request);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -62,7 +62,7 @@
     if (step >= kLatencySteps && forwarded[step - kLatencySteps].has_value()) {
       gateway.CompleteAttempt(*forwarded[step - kLatencySteps], CallResult::kOk);
     }
-    const uint32_t request = gateway.Arrive({.tenant = 1000 + static_cast<uint64_t>(step)});
+    const uint32_t request = gateway.SendRequest({.tenant = 1000 + static_cast<uint64_t>(step)});
     forwarded.push_back(gateway.Forwarded() ? std::optional(request) : std::nullopt);
     if (!gateway.Forwarded() || step < kRestartStep) continue;
     ++all_forwarded;
@@ -80,7 +80,8 @@
 TEST(SlowStart, BackendThatRefusesSomeConnectionsIsNotTakenForWarmingUp) {
   PolicyFixture gateway(MakeSettings(), {.endpoints = MakeEndpoints(1)});
   for (int i = 0; i < 4; ++i) {
-    const uint32_t request = gateway.Arrive({.time_left_s = 1.4, .tenant = 100 + static_cast<uint64_t>(i)});
+    const uint32_t request =
+        gateway.SendRequest({.time_left_s = 1.4, .tenant = 100 + static_cast<uint64_t>(i)});
     ASSERT_TRUE(gateway.Forwarded());
     gateway.CompleteAttempt(request, i % 3 == 2 ? CallResult::kOk : CallResult::kConnectFailed);
     gateway.Advance(0.6);
@@ -93,7 +94,7 @@
 TEST(SlowStart, BackendThatWasDeadWarmsUpWhenItReturns) {
   PolicyFixture gateway(MakeSettings(), {.endpoints = MakeEndpoints(1)});
   for (uint64_t tenant = 100; tenant < 112; ++tenant) {
-    const uint32_t request = gateway.Arrive({.time_left_s = 1.4, .tenant = tenant});
+    const uint32_t request = gateway.SendRequest({.time_left_s = 1.4, .tenant = tenant});
     if (gateway.Forwarded()) gateway.CompleteAttempt(request, CallResult::kConnectFailed);
     gateway.Advance(0.6);
   }
@@ -111,7 +112,7 @@
   for (uint64_t seed = 1000; seed < 1300; ++seed) {
     PolicyFixture gateway(settings, {.endpoints = {{.id = 5, .started_at_s = 99.9}}, .seed = seed});
     gateway.SetTime(100.1);
-    gateway.Arrive({.tenant = 0});
+    gateway.SendRequest({.tenant = 0});
     forwarded += CountAttemptsFromBackend(gateway, 0);
   }
   EXPECT_LT(forwarded, 10);
@@ -139,7 +140,7 @@
       }
       gateway.UpdateEndpoints(EndpointUpdateKind::kDelta, new_backends);
     }
-    const uint32_t request = gateway.Arrive({.time_left_s = 1.5, .tenant = gateway_index * 1000 + i});
+    const uint32_t request = gateway.SendRequest({.time_left_s = 1.5, .tenant = gateway_index * 1000 + i});
     attempts += CountAttemptsFromBackend(gateway, kFirstNewBackendId);
     const bool forwarded = gateway.Forwarded();
     gateway.Advance(0.1);
--- a/tests/policy/tenant_quota_test.cpp
+++ b/tests/policy/tenant_quota_test.cpp
@@ -140,7 +140,7 @@
 // in the counter; left there, they would keep the tenant from quota that it has not used.
 TEST(TenantQuota, RequestBeyondTheQuotaIsRejectedAndTakenOffTheCounter) {
   PolicyFixture gateway(MakeLargeFleetSettings());
-  gateway.Arrive({.cost_units = 2, .ingress_gateways = 100});
+  gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
   gateway.Advance(0.004);
@@ -158,7 +158,7 @@
 // the others find it.
 TEST(TenantQuota, FirstRequestOfAWindowCarriesOverTheExcessOfTheLastOne) {
   PolicyFixture gateway(MakeLargeFleetSettings(), {.start_s = 100.5});  // early in a window of 5 s
-  gateway.Arrive({.cost_units = 2, .ingress_gateways = 100});
+  gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
   const uint64_t key = call->key;
--- a/tests/support/policy_fixture.cpp
+++ b/tests/support/policy_fixture.cpp
@@ -83,7 +83,7 @@
   actions_.clear();
 }
 
-uint32_t PolicyFixture::Arrive(const RequestOptions& request) {
+uint32_t PolicyFixture::SendRequest(const RequestOptions& request) {
   Request arrived;
   arrived.id = ++last_request_id_;
   arrived.request_class = request.request_class;
@@ -149,7 +149,7 @@
 }
 
 bool PolicyFixture::ServeRequest(const RequestOptions& request, double actual_cost_units) {
-  const uint32_t request_id = Arrive(request);
+  const uint32_t request_id = SendRequest(request);
   if (const auto* call = Find<CallCounter>()) counter_calls_.push_back(*call);
   if (!Forwarded()) return false;
   CompleteAttempt(request_id, CallResult::kOk, actual_cost_units);
@@ -168,7 +168,7 @@
   int forwarded = 0;
   const double end_s = now_s_ + duration_s;
   while (now_s_ < end_s) {
-    const uint32_t request_id = Arrive({.time_left_s = 1.4, .tenant = kFirstTenant + last_request_id_});
+    const uint32_t request_id = SendRequest({.time_left_s = 1.4, .tenant = kFirstTenant + last_request_id_});
     if (!Forwarded()) {
       Advance(kPauseS);
       continue;
--- a/tests/support/policy_fixture.h
+++ b/tests/support/policy_fixture.h
@@ -66,7 +66,7 @@
   // Events. Each replaces actions() by the actions that it leads to.
 
   // A request arrives; returns its id.
-  uint32_t Arrive(const RequestOptions& request = {});
+  uint32_t SendRequest(const RequestOptions& request = {});
   // The latest attempt of the request ends. Throws std::out_of_range where the request was not forwarded.
   // `actual_cost_units` is what the backend measured; 0: not reported.
   void CompleteAttempt(uint32_t request_id, policy::CallResult result, double actual_cost_units = 0);
