--- a/tests/support/policy_fixture.cpp
+++ b/tests/support/policy_fixture.cpp
@@ -84,15 +84,15 @@
 }
 
 uint32_t PolicyFixture::SendRequest(const RequestOptions& request) {
-  Request arrived;
-  arrived.id = ++last_request_id_;
-  arrived.request_class = request.request_class;
-  arrived.tenant = request.tenant;
-  arrived.time_left_s = request.time_left_s;
-  arrived.cost_units = request.cost_units;
-  arrived.ingress_gateways = request.ingress_gateways;
-  Deliver([&](Actions* actions) { policy_.OnRequest(now_s_, arrived, actions); });
-  return arrived.id;
+  Request sent_request;
+  sent_request.id = ++last_request_id_;
+  sent_request.request_class = request.request_class;
+  sent_request.tenant = request.tenant;
+  sent_request.time_left_s = request.time_left_s;
+  sent_request.cost_units = request.cost_units;
+  sent_request.ingress_gateways = request.ingress_gateways;
+  Deliver([&](Actions* actions) { policy_.OnRequest(now_s_, sent_request, actions); });
+  return sent_request.id;
 }
 
 void PolicyFixture::Stall(double duration_s) {
