--- a/tests/policy/admission_policy_test.cpp
+++ b/tests/policy/admission_policy_test.cpp
@@ -1,4 +1,4 @@
-// The path of a request from arrival to its final answer, and invalid input.
+// Tests of AdmissionPolicy: the final response of a request, and invalid input.
 #include "policy/admission_policy.h"
 
 #include <gtest/gtest.h>
@@ -20,9 +20,9 @@
 constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
-// A backend does not answer and the request may not be retried. Its client must get a final answer, and only
-// one, before its own deadline: later nobody reads it.
-TEST(AdmissionPolicy, FinalAnswerComesBeforeTheClientGivesUp) {
+// A backend does not answer, and the request may not be retried. The gateway must send exactly one final
+// response, before the deadline of the client, who would not read it later.
+TEST(AdmissionPolicy, SendsOneFinalResponseBeforeTheClientDeadline) {
   PolicyFixture gateway(MakeSettings());
   const uint32_t request = gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 0.2});
   const auto* timer = gateway.Find<StartTimer>();
@@ -38,9 +38,10 @@
   EXPECT_TRUE(gateway.actions().empty());
 }
 
-// The counter fails while a request waits for its reply. Without a decision the client would wait in vain;
-// with two it would get two answers. The request is forwarded or rejected, by what this gateway knows.
-TEST(AdmissionPolicy, WaitingRequestIsDecidedOnceWhenTheCounterFails) {
+// The counter fails while a request waits for its reply. Without a decision the client would never get a
+// response, and with two decisions it would get two. The gateway must forward or reject the request from what
+// it knows locally.
+TEST(AdmissionPolicy, WaitingRequestIsDecidedOnceIfTheCounterFails) {
   for (CallResult result : {CallResult::kTimeout, CallResult::kRejected, CallResult::kConnectFailed}) {
     PolicyFixture gateway(MakeLargeFleetSettings());
     gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
@@ -52,8 +53,9 @@
   }
 }
 
-// The client leaves while its request waits for the counter. Forwarded on the reply, the request would cost
-// capacity and quota, and have effects, for an answer that nobody reads.
+// The client disconnects while its request waits for the counter. If the request were forwarded when the
+// reply comes, it would use capacity and quota and might have side effects, although nobody reads the
+// response.
 TEST(AdmissionPolicy, WaitingRequestOfADisconnectedClientIsNotForwarded) {
   PolicyFixture gateway(MakeLargeFleetSettings());
   const uint32_t request = gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
@@ -67,17 +69,18 @@
   EXPECT_FALSE(gateway.Rejected());
 }
 
-// A faulty counter replies with totals that are negative or no numbers, or to a key that it was not called
-// for; discovery lists no backend. Such a total must not spoil a quota, nor an empty list the choice of a
-// backend: requests are served again when the list has a backend.
-TEST(AdmissionPolicy, InvalidCounterTotalsAndAnEmptyEndpointListDoNoHarm) {
+// A faulty counter returns totals that are negative or not finite, or replies for a key that was never
+// requested, and discovery returns an empty endpoint list. Such a total must not corrupt a quota, and the
+// empty list must not break the choice of a backend. Requests must be served again once the list contains a
+// backend.
+TEST(AdmissionPolicy, ToleratesInvalidCounterTotalsAndAnEmptyEndpointList) {
   Settings settings = MakeLargeFleetSettings();
   settings.gateway_count = 3;
   PolicyFixture gateway(settings);
-  uint64_t tenant = 9;  // a new one each time: a call for the previous one may be in flight
+  uint64_t tenant = 9;  // a new tenant for each total, since a call for the previous one may be pending
   for (double total : {-5.0, kNan, kInfinity}) {
-    gateway.ReplyFromCounter(12345, total);                               // a key that nobody asked for
-    gateway.SendRequest({.tenant = tenant++, .ingress_gateways = 1000});  // more than there are gateways
+    gateway.ReplyFromCounter(12345, total);                               // a key that was never requested
+    gateway.SendRequest({.tenant = tenant++, .ingress_gateways = 1000});  // exceeds the fleet size
     const auto* call = gateway.Find<CallCounter>();
     ASSERT_NE(call, nullptr);
     gateway.Advance(6);
