--- a/tests/policy/counter_schedule_test.cpp
+++ b/tests/policy/counter_schedule_test.cpp
@@ -1,4 +1,5 @@
-// Calls to the shared counter: which are made, what they add, how often, and what happens when they fail.
+// Tests of CounterSchedule: which counter calls are made, how much they add, how often they are made and how
+// failed calls are handled.
 #include "policy/counter_schedule.h"
 
 #include <gtest/gtest.h>
@@ -16,13 +17,15 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-TEST(CounterSchedule, BatchesGrowWithTheTokensLeft) {
+// A tenant with many tokens left sends many requests. If the gateway reported each of them with its own call,
+// busy tenants would overload the counter. It must collect their units and report them in one call.
+TEST(CounterSchedule, BatchesGrowWithTheRemainingTokens) {
   Settings settings = MakeSettings();
   settings.plans[0].rate_units_per_s = 200;
   settings.plans[0].burst_units = 1000;
   PolicyFixture gateway(settings);
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 2}));
-  gateway.ReplyFromCounter(gateway.TakeCounterCalls().at(0).key, 2);  // another gateway has forwarded one
+  gateway.ReplyFromCounter(gateway.TakeCounterCalls().at(0).key, 2);  // includes one unit of another gateway
   ASSERT_EQ(gateway.ServeRequests(100, {.ingress_gateways = 2}), 100);
   EXPECT_TRUE(gateway.counter_calls().empty());
   ASSERT_EQ(gateway.ServeRequests(30, {.ingress_gateways = 2}), 30);
@@ -30,9 +33,9 @@
   EXPECT_GT(gateway.counter_calls()[0].amount, 100);
 }
 
-// A call to the counter times out: its amount may have been added or not. Added a second time, it could
-// charge the tenant for requests that it never sent. The amount is taken as added, also when the next total
-// shows that it was not.
+// A counter call times out, so it is unknown whether its amount was added. If it were added a second time,
+// the tenant might be charged for requests that it never sent. The amount must be treated as added, even if
+// the next total shows that it was not.
 TEST(CounterSchedule, TimedOutCallIsNotRepeated) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_TRUE(gateway.ServeRequest({.cost_units = 4}));
@@ -41,14 +44,14 @@
   gateway.Advance(0.01);
   ASSERT_TRUE(gateway.ServeRequest({.cost_units = 1}));
   EXPECT_EQ(gateway.LastCounterCall().amount, 1);
-  gateway.ReplyFromCounter(gateway.LastCounterCall().key, 1);  // the four units were lost
+  gateway.ReplyFromCounter(gateway.LastCounterCall().key, 1);  // the four units were not added
   gateway.Advance(0.01);
   ASSERT_TRUE(gateway.ServeRequest({.cost_units = 1}));
   EXPECT_EQ(gateway.LastCounterCall().amount, 1);
 }
 
-// The counter rejects a call: it has added nothing. Without these units the other gateways would take the
-// tenant to have more quota left than it has, so the next call carries them too.
+// The counter rejects a call, so its amount was not added. Without these units, the other gateways would
+// overestimate the tenant's remaining quota. The next call must therefore include them.
 TEST(CounterSchedule, AmountOfARejectedCallIsAddedToTheNext) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_TRUE(gateway.ServeRequest({.cost_units = 4}));
@@ -58,8 +61,9 @@
   EXPECT_EQ(gateway.LastCounterCall().amount, 5);
 }
 
-// A request of a tenant with two ingress gateways arrives, and a call to the counter that it leads to times
-// out at once. Counts the call; returns whether the request was forwarded, before or after the timeout.
+// Sends a request of a tenant with two ingress gateways. If it causes a counter call, the call times out
+// immediately and is added to `calls`. Returns whether the request was forwarded, before or after the
+// timeout.
 bool ServeWhileTheCounterIsSilent(PolicyFixture* gateway, int* calls) {
   const uint32_t request = gateway->SendRequest({.ingress_gateways = 2});
   bool forwarded = gateway->Forwarded();
@@ -72,10 +76,11 @@
   return forwarded;
 }
 
-// The counter is silent for 50 s. A gateway that admits everything then lets the fleet pass the quota, one
-// that admits nothing rejects requests within it, and one that calls for each request keeps the counter from
-// recovering. The gateway admits its part of the rate and calls now and then.
-TEST(CounterSchedule, SilentCounterLeavesThisGatewaysPartAndGetsFewCalls) {
+// The counter is silent for 50 s. If the gateway admitted everything, the fleet would exceed the quota. If it
+// admitted nothing, requests within the quota would be rejected. If it called the counter for each request,
+// the counter could not recover. The gateway must admit its own part of the rate and call the counter
+// occasionally.
+TEST(CounterSchedule, AdmitsOwnPartAndCallsRarelyWhileTheCounterIsSilent) {
   Settings settings = MakeSettings();
   settings.counter_timeout_s = 0.03;
   PolicyFixture gateway(settings);
@@ -85,11 +90,13 @@
     gateway.SetTime(100 + i * 0.05);
     forwarded += ServeWhileTheCounterIsSilent(&gateway, &calls) ? 1 : 0;
   }
-  EXPECT_NEAR(forwarded, 50 + 5, 7);  // half of two a second over 50 s, and half of the burst
+  EXPECT_NEAR(forwarded, 50 + 5, 7);  // half of 2 units/s over 50 s, plus half of the burst
   EXPECT_LT(calls, 200);
 }
 
-TEST(CounterSchedule, RequestIsCountedFirstAndForwardedOnTheReply) {
+// A request waits for the counter. Its units must be part of the call, so that the other gateways count them,
+// and it must be forwarded if the returned total leaves room for it.
+TEST(CounterSchedule, WaitingRequestIsCountedAndForwardedOnReply) {
   PolicyFixture gateway(MakeLargeFleetSettings());
   gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   EXPECT_FALSE(gateway.Forwarded());
@@ -97,25 +104,26 @@
   ASSERT_NE(call, nullptr);
   EXPECT_EQ(call->amount, 2);
   gateway.Advance(0.004);
-  gateway.ReplyFromCounter(call->key, 4);  // the others have forwarded two units
+  gateway.ReplyFromCounter(call->key, 4);  // includes two units of other gateways
   EXPECT_TRUE(gateway.Forwarded());
 }
 
-// A request whose client gives up soon cannot wait for the counter's timeout, and is decided on arrival.
-TEST(CounterSchedule, RequestWithLittleTimeLeftIsDecidedAtOnce) {
+// The client of a request gives up soon, so the request cannot wait for the counter's timeout. It must be
+// decided on arrival.
+TEST(CounterSchedule, RequestWithLittleTimeLeftIsDecidedOnArrival) {
   PolicyFixture gateway(MakeLargeFleetSettings());
   gateway.SendRequest({.cost_units = 2, .time_left_s = 0.1, .ingress_gateways = 100});
   EXPECT_NE(gateway.Forwarded(), gateway.Rejected());
 }
 
-// How a simulated counter replies to the calls for which requests wait.
+// Simulates the replies of the counter to the calls for which a request waits.
 struct CounterBehavior {
-  std::function<double(int call)> reply_delay_s;  // of the first call, the second, ...; counted from 1
-  std::function<double(int request)> total;       // for the first request, the second, ...; counted from 0
+  std::function<double(int call)> reply_delay_s;  // by call number, from 1
+  std::function<double(int request)> total;       // by request number, from 0
 };
 
-// Serves one request of each of 400 new tenants with a hundred ingress gateways, one each 250 ms. Returns the
-// number of requests that waited for the counter.
+// Serves one request of each of 400 new tenants, all with 100 ingress gateways, at intervals of 250 ms.
+// Returns the number of requests that waited for the counter.
 int CountRequestsThatWait(const Settings& settings, const CounterBehavior& counter) {
   PolicyFixture gateway(settings);
   int calls = 0;
@@ -134,10 +142,10 @@
   return calls;
 }
 
-// The counter is overloaded by the calls of all gateways, and its replies come far later than its timeout.
-// Were it called for each request as before, it would stay overloaded, and every request would wait for it.
-// Late replies raise the price of a call, so that only the calls that matter most are made.
-TEST(CounterSchedule, OverloadedCounterIsCalledLess) {
+// The calls of all gateways overload the counter, so its replies come long after the timeout. If the gateway
+// continued to call it for each request, the counter would stay overloaded and every request would wait for
+// it. Late replies must raise the price of a call, so that only the most valuable calls are made.
+TEST(CounterSchedule, OverloadedCounterIsCalledLessOften) {
   const auto every_other_is_over_quota = [](int request) { return request % 2 == 0 ? 1 : 40; };
   const CounterBehavior fast{[](int) { return 0.004; }, every_other_is_over_quota};
   const CounterBehavior overloaded{[](int) { return 0.05; }, every_other_is_over_quota};
@@ -145,18 +153,19 @@
   EXPECT_LT(CountRequestsThatWait(MakeLargeFleetSettings(), overloaded), 200);
 }
 
-// Calls of a hundred gateways queue now and then, however few each gateway makes. If one late reply in ten
-// were taken for an overload, the price of a call would rise without end and the counter would go unused.
-TEST(CounterSchedule, FewLateRepliesDoNotEndTheCalls) {
+// The calls of 100 gateways sometimes queue at the counter, no matter how few of them each gateway makes. If
+// one late reply in ten were treated as an overload, the price of a call would rise without bound and the
+// counter would no longer be used.
+TEST(CounterSchedule, OccasionalLateRepliesDoNotStopTheCalls) {
   Settings settings = MakeLargeFleetSettings();
-  settings.plans[0].over_quota_penalty = 0.3;  // so low that expensive calls are not made
+  settings.plans[0].over_quota_penalty = 0.3;  // too low for expensive calls to be worth their price
   const CounterBehavior counter{[](int call) { return call % 10 == 0 ? 0.05 : 0.04; },
                                 [](int request) { return request % 4 == 0 ? 40 : 1; }};
   EXPECT_GT(CountRequestsThatWait(settings, counter), 380);
 }
 
-// Replies that come late, each to a call for a request of a new tenant, raise the price of a call.
-void RaiseThePriceOfCalls(PolicyFixture* gateway) {
+// Raises the price of a call with ten late replies, each to a call for a request of a new tenant.
+void RaiseCallPrice(PolicyFixture* gateway) {
   int late_replies = 0;
   for (uint64_t i = 0; i < 100 && late_replies < 10; ++i) {
     gateway->SendRequest({.tenant = 100 + i, .ingress_gateways = 100});
@@ -169,8 +178,8 @@
   ASSERT_EQ(late_replies, 10);
 }
 
-// Lets a request of the tenant arrive, and serves it if it is forwarded. Returns whether it was rejected, so
-// that it neither was forwarded nor waits for the counter.
+// Sends a request of the tenant and serves it if it is forwarded. Returns whether it was rejected, which
+// means that it was neither forwarded nor waits for the counter.
 bool IsRejectedOnArrival(PolicyFixture* gateway, uint64_t tenant) {
   const uint32_t request = gateway->SendRequest({.tenant = tenant, .ingress_gateways = 100});
   const bool rejected = gateway->Rejected();
@@ -178,28 +187,29 @@
   return rejected;
 }
 
-// Before its first reply, a gateway admits its part of a tenant's burst, which is one request here. The
-// tenant's second request would be rejected although the fleet has nearly all of the burst left. The
-// rejection would lose far more than a call costs, also at a raised price, so the counter is called.
-TEST(CounterSchedule, CounterIsCalledWhereThisGatewaysPartIsUsedUp) {
+// Before the counter's first reply for a tenant, the gateway admits only its own part of the tenant's burst,
+// which is one request here. Without a call, the tenant's second request would be rejected, although the
+// fleet has almost all of the burst left. Such a rejection costs far more than a call, even at a raised
+// price, so the counter must be called.
+TEST(CounterSchedule, CounterIsCalledWhenTheLocalPartIsUsedUp) {
   Settings settings = MakeLargeFleetSettings();
   settings.plans[0].rate_units_per_s = 20;
   settings.plans[0].burst_units = 100;
   PolicyFixture gateway(settings);
-  ASSERT_NO_FATAL_FAILURE(RaiseThePriceOfCalls(&gateway));
+  ASSERT_NO_FATAL_FAILURE(RaiseCallPrice(&gateway));
   int rejected = 0;
   for (uint64_t tenant = 1000; tenant < 1040; ++tenant) {
     gateway.Advance(0.3);
-    IsRejectedOnArrival(&gateway, tenant);  // this gateway's part
+    IsRejectedOnArrival(&gateway, tenant);  // uses up this gateway's part
     rejected += IsRejectedOnArrival(&gateway, tenant) ? 1 : 0;
   }
   EXPECT_EQ(rejected, 0);
 }
 
-// The counter is overloaded, so that a gateway pauses between calls, and an attempt of a tenant with a cap
-// ends in such a pause. Were its end reported with the tenant's next request only, the cap would stay taken
-// for all gateways until then. It is reported when the pause is over.
-TEST(CounterSchedule, EndOfAnAttemptIsReportedWhenThePauseIsOver) {
+// The counter is overloaded, so the gateway pauses between calls. During a pause, an attempt of a tenant with
+// a cap on concurrent attempts ends. If its end were reported only with the tenant's next request, the cap
+// would stay occupied at all gateways until then. It must be reported when the pause is over.
+TEST(CounterSchedule, EndOfAnAttemptIsReportedAfterThePause) {
   Settings settings = MakeLargeFleetSettings();
   settings.plans[0].max_concurrent_attempts = 2;
   PolicyFixture gateway(settings);
@@ -212,13 +222,13 @@
   gateway.ReplyFromCounter(keys[0], 1);
   gateway.ReplyFromCounter(keys[1], 5);
   ASSERT_TRUE(gateway.Forwarded());
-  for (uint64_t tenant = 100; tenant < 200; ++tenant) {  // each call of another tenant fails
+  for (uint64_t tenant = 100; tenant < 200; ++tenant) {  // each call for another tenant fails
     gateway.SendRequest({.tenant = tenant, .ingress_gateways = 100});
     const auto* call = gateway.Find<CallCounter>();
     if (call != nullptr) gateway.FailCounterCall(call->key, CallResult::kRejected);
   }
   gateway.CompleteAttempt(request, CallResult::kOk);
-  EXPECT_EQ(gateway.Find<CallCounter>(), nullptr) << "in the pause";
+  EXPECT_EQ(gateway.Find<CallCounter>(), nullptr) << "the pause between calls is not over";
   for (int i = 0; i < 20 && gateway.Find<CallCounter>() == nullptr; ++i) {
     gateway.Advance(0.4);
     gateway.FireTimer(CounterSchedule::kPauseOverTag);
--- a/tests/policy/demand_share_test.cpp
+++ b/tests/policy/demand_share_test.cpp
@@ -1,5 +1,5 @@
-// The share term (PAPER, eq. 11 and 12): capacity that other tenants leave unused, which a tenant may borrow
-// where its plan allows that.
+// Tests of DemandShare (PAPER, eq. 11 and 12), which lends the capacity that other tenants leave unused to
+// tenants whose plan allows borrowing.
 #include <gtest/gtest.h>
 
 #include "support/policy_fixture.h"
@@ -10,13 +10,13 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-// Value of a request beyond the quota, as shares of its full value: what it earns, and what is charged for
+// Terms for a request beyond the quota, as shares of its full value: what it earns and what is charged for
 // it.
 struct ExcessTerms {
   double value_share = 0;
   double penalty = 0;
 };
-constexpr ExcessTerms kSoftPlan{.value_share = 0.3, .penalty = 0};  // earns more than it is charged
+constexpr ExcessTerms kSoftPlan{.value_share = 0.3, .penalty = 0};  // the earnings exceed the penalty
 constexpr ExcessTerms kHardPlan{.value_share = 0, .penalty = 1};
 
 Settings MakePlanSettings(const ExcessTerms& excess) {
@@ -27,12 +27,13 @@
   return settings;
 }
 
-// Serves a request of each of five new tenants, which leave nearly all of their quota unused.
+// Serves one request of each of five new tenants, which leaves almost all of their quota unused.
 void ServeFiveNewTenants(PolicyFixture* gateway, uint64_t* next_tenant) {
   for (int i = 0; i < 5; ++i) gateway->ServeRequest({.tenant = (*next_tenant)++});
 }
 
-// For 2 s, one tenant sends a hundred requests beside new tenants. Returns how many of them were forwarded.
+// One tenant sends 100 requests within 2 s, while new tenants send requests too. Returns how many of the 100
+// requests were forwarded.
 int CountForwardedBesideNewTenants(const Settings& settings) {
   PolicyFixture gateway(settings);
   uint64_t next_tenant = 100;
@@ -50,9 +51,10 @@
   EXPECT_GT(CountForwardedBesideNewTenants(MakePlanSettings(kSoftPlan)), 40);
 }
 
-// Backends reject attempts because they are overloaded. If a tenant could still borrow quota, its excess
-// would take capacity from requests within their quota. For a while after a rejected attempt nothing is lent.
-TEST(DemandShare, NothingIsLentWhileBackendsReject) {
+// The backends reject attempts because they are overloaded. If a tenant could still borrow, its excess
+// requests would take capacity from requests within their quota. Nothing may be lent for some time after a
+// rejected attempt.
+TEST(DemandShare, NothingIsLentWhileBackendsRejectAttempts) {
   PolicyFixture gateway(MakePlanSettings(kSoftPlan));
   uint64_t next_tenant = 100;
   int forwarded = 0;
@@ -70,8 +72,8 @@
   EXPECT_LE(forwarded, 14);
 }
 
-// A soft plan has a cap on concurrent attempts and no quota on the rate. What it sends beyond the cap is
-// borrowed: were it taken for within the quota, it would not be the first to be rejected under pressure.
+// A soft plan has a cap on concurrent attempts and no rate quota. Attempts beyond the cap are borrowed. If
+// they were treated as within the quota, they would not be rejected first under pressure.
 TEST(DemandShare, AttemptsBeyondACapAreBorrowed) {
   Settings settings = MakePlanSettings(kSoftPlan);
   settings.plans[0].rate_units_per_s = 0;
@@ -82,9 +84,10 @@
   gateway.Advance(settings.classes[0].latency_objective_s + 0.1);
   for (int i = 0; i < 3; ++i) {
     gateway.SendRequest();
-    EXPECT_TRUE(gateway.Forwarded()) << "the third is borrowed";
+    EXPECT_TRUE(gateway.Forwarded()) << "attempt " << i + 1
+                                     << " of 3; the third is borrowed beyond the cap of 2";
   }
-  gateway.CompleteAttempt(slow, CallResult::kOk);  // past its latency objective: there is pressure
+  gateway.CompleteAttempt(slow, CallResult::kOk);  // a response past its latency objective causes pressure
   gateway.SendRequest();
   ASSERT_TRUE(gateway.Rejected());
   EXPECT_EQ(gateway.Find<RejectRequest>()->reason, RejectReason::kOverQuota);
