--- a/tests/policy/endpoint_selector_test.cpp
+++ b/tests/policy/endpoint_selector_test.cpp
@@ -1,4 +1,4 @@
-// The choice of a backend for an attempt.
+// Tests of EndpointSelector, which selects the backend for an attempt.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -11,8 +11,8 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-// A backend answers an idempotent request with an error. The same backend would probably fail it again, so
-// the retry goes to another one.
+// A backend answers an idempotent request with an error. The same backend would probably fail again, so the
+// retry must go to another one.
 TEST(EndpointSelector, RetryAfterAnErrorGoesToAnotherBackend) {
   PolicyFixture gateway(MakeSettings());
   const uint32_t request = gateway.SendRequest();
--- a/tests/policy/endpoint_set_test.cpp
+++ b/tests/policy/endpoint_set_test.cpp
@@ -1,4 +1,4 @@
-// The backends as discovery lists them.
+// Tests of EndpointSet, which applies the endpoint lists of discovery.
 #include <gtest/gtest.h>
 
 #include "support/policy_fixture.h"
@@ -11,8 +11,8 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-// A backend shuts down or is removed. A request that is still forwarded to it is lost or fails. From the
-// update on, requests go to the other backends, and are rejected where there are none.
+// A backend is draining or removed, so a request forwarded to it would be lost or fail. As soon as the update
+// arrives, requests must go to the other backends, or be rejected if there are none.
 TEST(EndpointSet, NothingIsForwardedToDrainingOrRemovedBackends) {
   constexpr uint32_t kSecondBackendId = kFirstBackendId + 1;
   PolicyFixture gateway(MakeSettings(), {.endpoints = MakeEndpoints(2)});
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// The share of requests that is admitted, by their priority weight and by the latency of the answers.
+// Tests of LoadShedder: which requests are shed, by priority weight and by the latency of the responses.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -15,9 +15,10 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-// More requests arrive than the backends can take. Shed at random, a class of ten times the priority weight
-// would lose as many as the other one. The last of the capacity is reserved for it.
-TEST(LoadShedder, LastCapacityIsForTheHighestPriorityWeight) {
+// More requests arrive than the backends can handle. If requests were shed at random, a class with ten times
+// the priority weight would lose as many requests as the other class. The last part of the capacity must be
+// reserved for it.
+TEST(LoadShedder, LastCapacityIsReservedForTheHighestPriorityWeight) {
   constexpr int kLowPriorityClass = kIdempotentClass;
   constexpr int kHighPriorityClass = kIdempotencyKeyClass;
   Settings settings = MakeSettings();
@@ -36,7 +37,7 @@
   EXPECT_GT(low_priority_forwarded, 0);
 }
 
-// Serves 200 requests of new tenants, one at a time; returns the number that was forwarded.
+// Serves 200 requests of new tenants one at a time and returns how many of them were forwarded.
 int CountAdmittedAtLatency(double latency_s) {
   Settings settings = MakeSettings();
   settings.counter_enabled = false;
@@ -53,16 +54,16 @@
   return forwarded;
 }
 
-// Many gateways together overload a hundred backends. A single gateway hardly ever has more than one attempt
-// in flight at a backend, so the limits of the single backends do not reduce the traffic, and answers would
-// stay slow. The answers of all backends together lower the share of requests that is admitted.
-TEST(LoadShedder, SlowAnswersOfAllBackendsLowerTheAdmittedShare) {
+// Many gateways together overload 100 backends. A single gateway rarely has more than one attempt in flight
+// at any backend, so the concurrency limits of the backends do not reduce the traffic and responses would
+// stay slow. Slow responses over all backends must lower the admitted share.
+TEST(LoadShedder, SlowResponsesOfAllBackendsLowerTheAdmittedShare) {
   EXPECT_EQ(CountAdmittedAtLatency(0.05), 200);
   EXPECT_LT(CountAdmittedAtLatency(0.5), 130);
 }
 
-// Serves requests of new tenants, ten at a time. Each ten take `latency_s`, and then their answers lie unread
-// while the process stands still for `stall_s`. Returns the number that was forwarded, of 200.
+// Serves 200 requests of new tenants, ten at a time. The responses to each ten arrive after `latency_s` and
+// are read after the process was stalled for another `stall_s`. Returns how many requests were forwarded.
 int CountAdmittedWithStalls(double latency_s, double stall_s) {
   constexpr int kRounds = 20;
   constexpr int kRequestsPerRound = 10;
@@ -85,42 +86,45 @@
   return forwarded;
 }
 
-// The process is held up while answers are in flight, so that all of them are read late, at once. That is no
-// sign of slow backends: a gateway that took it for one would reject most of what comes for seconds.
-TEST(LoadShedder, TimeInWhichTheProcessStoodStillIsNotTheBackends) {
+// The process stalls while attempts are in flight, so all their responses are read late. This does not mean
+// that the backends are slow. A gateway that took it for slow backends would reject most requests for
+// seconds.
+TEST(LoadShedder, ProcessStallsDoNotCountAsBackendLatency) {
   for (double stall_s : {0.15, 0.3, 0.7, 1.0})
-    EXPECT_EQ(CountAdmittedWithStalls(0.05, stall_s), 200) << stall_s;
+    EXPECT_EQ(CountAdmittedWithStalls(0.05, stall_s), 200) << "stalls of " << stall_s << " s";
 }
 
-// Backends that are slow by themselves overload all the same, whether or not the process is held up too.
-TEST(LoadShedder, SlowAnswersLowerTheAdmittedShareAcrossStallsToo) {
+// Responses are slow because the backends are overloaded. The admitted share must fall whether or not the
+// process stalls as well.
+TEST(LoadShedder, SlowResponsesLowerTheAdmittedShareDespiteStalls) {
   EXPECT_LT(CountAdmittedWithStalls(0.5, 0), 130);
   EXPECT_LT(CountAdmittedWithStalls(0.5, 0.3), 130);
 }
 
-// The admitted share is low when the last answers have come, and all new requests have little time left. With
-// no attempt in flight nothing would show that the backends have capacity again, and the gateway would reject
-// for ever. So after a latency objective without an attempt the next request is admitted.
+// The admitted share is low when the last responses arrive, and all new requests have little time left. With
+// no attempt in flight, nothing would show that the backends have capacity again, so the gateway would reject
+// requests forever. It must admit the next request if no attempt was in flight for the duration of a latency
+// objective.
 TEST(LoadShedder, AdmitsARequestAfterALatencyObjectiveWithoutAttempts) {
   Settings settings = MakeSettings();
   settings.counter_enabled = false;
   PolicyFixture gateway(settings, {.endpoints = MakeEndpoints(100)});
-  // A request that is attempted once at most, and has less time left than the first one.
-  const auto arrive_late = [&gateway](uint64_t tenant) {
+  // Sends a request that gets at most one attempt and has less time left than the first request.
+  const auto send_with_less_time = [&gateway](uint64_t tenant) {
     return gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 0.8, .tenant = tenant});
   };
   const uint32_t first = gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 1.4});
   gateway.CompleteAttempt(first, CallResult::kOk);
   for (uint64_t i = 0; i < 400; ++i) {
-    const uint32_t request = arrive_late(1000 + i);
+    const uint32_t request = send_with_less_time(1000 + i);
     const bool is_forwarded = gateway.Forwarded();
     gateway.Advance(is_forwarded ? 0.59 : 0.02);
     if (is_forwarded) gateway.CompleteAttempt(request, CallResult::kOk);
   }
   int forwarded = 0;
-  for (uint64_t i = 0; i < 16; ++i) {  // 4 s
+  for (uint64_t i = 0; i < 16; ++i) {  // for 4 s
     gateway.Advance(0.25);
-    const uint32_t request = arrive_late(2000 + i);
+    const uint32_t request = send_with_less_time(2000 + i);
     if (!gateway.Forwarded()) continue;
     ++forwarded;
     gateway.CompleteAttempt(request, CallResult::kError);
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Ejection of backends that fail.
+// Tests of OutlierDetector, which ejects failing backends.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -14,8 +14,9 @@
 using test_support::MakeSettings;
 using test_support::PolicyFixture;
 
-// One backend answers every request with an error, at once: with nothing in flight it looks like the least
-// loaded one, and would attract most of the traffic. It is ejected after a few errors.
+// One backend immediately answers every request with an error. Because it never has attempts in flight, it
+// looks like the least loaded backend and would attract most of the traffic. It must be ejected after a few
+// errors.
 TEST(OutlierDetector, FailingBackendIsEjected) {
   PolicyFixture gateway(MakeSettings(), {.endpoints = MakeEndpoints(3)});
   int attempts_at_failing_backend = 0;
@@ -30,10 +31,10 @@
   EXPECT_LE(attempts_at_failing_backend, 4);
 }
 
-// Half of the backends fail; a fault so wide is likely not theirs. With all of them ejected, the rest of the
-// fleet would be full and requests would be rejected. Where more than a small part of the fleet is ejected,
-// the ejections are ignored.
-TEST(OutlierDetector, MostOfTheFleetIsNeverEjected) {
+// Half of the backends fail. A fault that affects so many is probably not in the backends. If all failing
+// backends were ejected, the remaining ones would be full and requests would be rejected. Ejections must be
+// ignored if more than a small part of the fleet is ejected.
+TEST(OutlierDetector, EjectionsAreIgnoredWhenHalfOfTheFleetFails) {
   constexpr uint32_t kFirstHealthyBackendId = kFirstBackendId + 4;
   PolicyFixture gateway(MakeSettings(), {.endpoints = MakeEndpoints(8)});
   int not_forwarded = 0;
@@ -47,7 +48,7 @@
       gateway.CompleteAttempt(request, CallResult::kError);
     }
   }
-  EXPECT_EQ(not_forwarded, 0);  // the healthy backends do not answer, and are full by then
+  EXPECT_EQ(not_forwarded, 0);  // the healthy backends send no responses, so they are full by now
 }
 
 }  // namespace
