--- a/tests/policy/quota_check_test.cpp
+++ b/tests/policy/quota_check_test.cpp
@@ -11,9 +11,9 @@
 
 using test_support::MakeSettings;
 
-// A request that waits for the counter is assessed when it arrives and again when the reply has come. Counted
-// as demand each time, it would make the grants of all tenants that may borrow too small.
-TEST(QuotaCheck, CountsARequestThatWaitedAsDemandOnce) {
+// A request that waits for the counter is assessed on arrival and again when the reply has arrived. If each
+// assessment counted as demand, the grants of all tenants that may borrow would be too small.
+TEST(QuotaCheck, CountsAWaitingRequestAsDemandOnce) {
   constexpr double kNowS = 100;
   constexpr double kNextTickS = 0.15;
   constexpr double kServedUnits = 8;
@@ -41,7 +41,7 @@
   borrowing_tenant.quota.Charge(borrowing_tenant.quota.tokens());
   check.RecordDemand(&borrowing_tenant, borrowing, kNowS + kNextTickS);
   double tokens = borrowing_tenant.quota.tokens();
-  double grant = (kServedUnits - tokens) / 2;  // half of the demand was its own
+  double grant = (kServedUnits - tokens) / 2;  // half of the demand was from this tenant
   EXPECT_NEAR(borrowing_tenant.borrowing_allowance.units(),
               std::min(grant, settings.plans[1].burst_units - tokens), 1e-6);
 }
