--- a/tests/policy/tenant_quota_test.cpp
+++ b/tests/policy/tenant_quota_test.cpp
@@ -1,4 +1,5 @@
-// A tenant's quota over the fleet: its window, and what the other gateways are taken to use of it.
+// Tests of TenantQuota, a tenant's rate quota over the fleet: its windows, and the assumed usage of the other
+// gateways.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -13,16 +14,17 @@
 using test_support::PolicyFixture;
 using test_support::RequestOptions;
 
-// Until the first reply, a gateway does not know what the other two ingress gateways have used.
-TEST(TenantQuota, AdmitsItsPartOfTheBurstBeforeTheFirstCounterReply) {
+// Before the counter's first reply, the gateway does not know the usage of the other two ingress gateways, so
+// it must not admit more than its own part of the burst.
+TEST(TenantQuota, AdmitsOwnPartOfTheBurstBeforeTheFirstCounterReply) {
   PolicyFixture gateway(MakeSettings());
   const int forwarded = gateway.ServeRequests(10, {.ingress_gateways = 3});
   EXPECT_GE(forwarded, 3);
   EXPECT_LE(forwarded, 4);
-  ASSERT_EQ(gateway.counter_calls().size(), 1u);  // one call in flight for a key
+  ASSERT_EQ(gateway.counter_calls().size(), 1u);  // at most one call is pending for a key
 }
 
-TEST(TenantQuota, UsageOfOtherGatewaysIsTakenFromTheBucket) {
+TEST(TenantQuota, UsageOfOtherGatewaysIsSubtractedFromTheBucket) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
   const CallCounter call = gateway.counter_calls().at(0);
@@ -30,9 +32,10 @@
   EXPECT_FALSE(gateway.ServeRequest({.cost_units = 2, .ingress_gateways = 3}));
 }
 
-// The fleet uses up a tenant's quota just before a window ends. If the next window began with a full bucket,
-// the tenant would get two bursts within milliseconds. What was left in the bucket is carried over instead.
-TEST(TenantQuota, EmptyBucketIsCarriedIntoTheNextWindow) {
+// The fleet uses up a tenant's quota just before a window ends. If the next window started with a full
+// bucket, the tenant would get two bursts within milliseconds. The next window must start with what was left
+// in the bucket.
+TEST(TenantQuota, EmptyBucketCarriesOverToTheNextWindow) {
   PolicyFixture gateway(MakeSettings(), {.start_s = 104.98});
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
   const CallCounter first_call = gateway.counter_calls().at(0);
@@ -44,16 +47,16 @@
   gateway.SetTime(130);
   gateway.ServeRequest({.ingress_gateways = 3});
   ASSERT_GT(gateway.counter_calls().size(), 1u);
-  EXPECT_NE(gateway.LastCounterCall().key, first_call.key);  // each window has a key of its own
+  EXPECT_NE(gateway.LastCounterCall().key, first_call.key);  // each window has its own key
 }
 
-// The gateways together overspend a window: they learn of each other's usage only from the counter. If the
-// next window began afresh, the tenant would keep the excess. It is taken from the next window, and so is
-// what the other gateways use there.
+// The gateways together overspend a window, because each learns the usage of the others only from the
+// counter. If the next window started with a full burst, the tenant would keep the excess. The excess must be
+// subtracted from the next window, and so must the other gateways' usage in that window.
 TEST(TenantQuota, WindowAfterAnOverspentOneStartsWithoutABurst) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
-  gateway.ReplyFromCounter(gateway.TakeCounterCalls().at(0).key, 2);  // another gateway has forwarded one
+  gateway.ReplyFromCounter(gateway.TakeCounterCalls().at(0).key, 2);  // includes one unit of another gateway
   gateway.SetTime(102);
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
   ASSERT_EQ(gateway.counter_calls().size(), 1u);
@@ -64,16 +67,17 @@
   for (int i = 0; i < 8; ++i) {
     gateway.SetTime(105.1 + 0.6 * i);
     forwarded += gateway.ServeRequest({.ingress_gateways = 3}) ? 1 : 0;
-    // The others have already passed the ten units of the next window.
+    // The other gateways have already used more than the ten units of the next window.
     for (const CallCounter& call : gateway.TakeCounterCalls()) gateway.ReplyFromCounter(call.key, 12);
   }
   EXPECT_LE(forwarded, 1);
 }
 
-// The counter loses its counts, by a restart or an eviction: the total of a key falls within a window, where
-// it can only rise. Believed, the reply would hand out again what the other gateways have already used, and
-// the fleet would pass the quota. A total that falls is not believed, and what was known before stands.
-TEST(TenantQuota, CounterThatLostItsCountsGivesNothingBack) {
+// The counter loses its counts, because of a restart or an eviction, so the total of a key falls, although it
+// can only rise within a window. If the gateway used the lower total, it would admit again what the other
+// gateways have already used, and the fleet would exceed the quota. It must ignore the lower total and keep
+// the previous one.
+TEST(TenantQuota, LostCounterStateReturnsNoQuota) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
   const CallCounter first_call = gateway.LastCounterCall();
@@ -83,13 +87,13 @@
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
   ASSERT_GT(gateway.counter_calls().size(), calls_before);
   const CallCounter second_call = gateway.LastCounterCall();
-  gateway.ReplyFromCounter(second_call.key, second_call.amount);  // the eight units of the others are gone
+  gateway.ReplyFromCounter(second_call.key, second_call.amount);  // without the eight units of the others
   EXPECT_EQ(gateway.ServeRequests(10, {.ingress_gateways = 3}), 0);
 }
 
-// The tenant comes in through two gateways and uses little, half of it through each; the counter says so for
-// 20 s.
-void ServeEqualPartsWithTheCounter(PolicyFixture* gateway) {
+// For 20 s, the tenant sends few requests, half of them through this gateway and half through another one.
+// The counter's totals include both halves.
+void ServeEqualPartsWithCounterReplies(PolicyFixture* gateway) {
   double total = 0;
   for (int i = 0; i < 40; ++i) {
     gateway->SetTime(100 + i * 0.5);
@@ -103,13 +107,13 @@
   }
 }
 
-// The counter stops answering, and then the tenant asks every gateway for far more than its quota. Each
-// gateway knows only that the others used little before: if each took the rest of the quota for itself, the
-// fleet would pass the quota as many times as it has gateways. While the counter is silent, a gateway keeps
-// to the part of the tenant's usage that it had in the last replies.
-TEST(TenantQuota, KeepsToItsLastKnownPartWhileTheCounterIsSilent) {
+// The counter fails, and then the tenant requests far more than its quota at every gateway. Each gateway
+// knows only that the others used little before. If each gateway used all of the remaining quota, the fleet
+// would exceed the quota by a factor of the number of gateways. While the counter is silent, a gateway must
+// stay within its part of the tenant's usage as of the last replies.
+TEST(TenantQuota, StaysWithinItsLastKnownPartWhileTheCounterIsSilent) {
   PolicyFixture gateway(MakeSettings());
-  ASSERT_NO_FATAL_FAILURE(ServeEqualPartsWithTheCounter(&gateway));
+  ASSERT_NO_FATAL_FAILURE(ServeEqualPartsWithCounterReplies(&gateway));
 
   const RequestOptions request{.cost_units = 0.5, .ingress_gateways = 2};
   double forwarded_units = 0;
@@ -122,29 +126,32 @@
       gateway.FailCounterCall(call.key, CallResult::kRejected);
     }
   }
-  // About half of two units a second over 60 s, and a burst.
+  // The expected value is about half of 2 units/s over 60 s, plus a burst.
   EXPECT_LT(forwarded_units, 60 * 2 * 0.62 + 10);
   EXPECT_GT(forwarded_units, 60 * 2 * 0.3);
   EXPECT_GT(requested_units, 500);
 }
 
+// A backend reports a lower cost than the request was charged. The difference must be returned to the bucket,
+// and it must not be reported to the counter as a negative amount.
 TEST(TenantQuota, ActualCostCorrectsTheBucketAndCounterTotalsOnlyRise) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_TRUE(gateway.ServeRequest({.cost_units = 4}, /*actual_cost_units=*/1));
   gateway.ReplyFromCounter(gateway.LastCounterCall().key, 4);
-  EXPECT_EQ(gateway.ServeRequests(20), 9);  // the burst of ten, less the one unit that it really cost
+  EXPECT_EQ(gateway.ServeRequests(20), 9);  // the burst of ten minus the actual cost of one unit
   for (const CallCounter& call : gateway.counter_calls()) EXPECT_GE(call.amount, 0);
 }
 
-// A request waits for the counter's reply and turns out to be beyond the fleet's quota. Its units are already
-// in the counter; left there, they would keep the tenant from quota that it has not used.
-TEST(TenantQuota, RequestBeyondTheQuotaIsRejectedAndTakenOffTheCounter) {
+// A request waits for the counter's reply, which shows that it is beyond the fleet's quota. Its units have
+// already been added to the counter. If they were not subtracted again, they would block quota that the
+// tenant has not used.
+TEST(TenantQuota, RejectedRequestIsSubtractedFromTheCounter) {
   PolicyFixture gateway(MakeLargeFleetSettings());
   gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
   gateway.Advance(0.004);
-  gateway.ReplyFromCounter(call->key, 13);  // the others have forwarded a whole burst
+  gateway.ReplyFromCounter(call->key, 13);  // the others have used more than a burst
   EXPECT_FALSE(gateway.Forwarded());
   EXPECT_TRUE(gateway.Rejected());
   const auto* correction = gateway.Find<CallCounter>();
@@ -152,11 +159,11 @@
   EXPECT_EQ(correction->amount, -2);
 }
 
-// A tenant that each of a hundred gateways sees seldom has overspent the last window, and the gateway that
-// sees it first in the next one knows nothing of that. Admitted on an empty key, the tenant would get a full
-// burst again. The gateway reads the key of the last window first, and adds the excess to the new key, where
-// the others find it.
-TEST(TenantQuota, FirstRequestOfAWindowCarriesOverTheExcessOfTheLastOne) {
+// Each of 100 gateways sees a tenant only rarely. The tenant overspent the last window, and the gateway that
+// gets its first request in the next window does not know this. If it decided from the new key, which is
+// empty, the tenant would get a full burst again. The gateway must first read the key of the last window and
+// add the excess to the new key, where the other gateways see it.
+TEST(TenantQuota, FirstRequestOfAWindowCarriesOverTheExcessOfTheLast) {
   PolicyFixture gateway(MakeLargeFleetSettings(), {.start_s = 100.5});  // early in a window of 5 s
   gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   const auto* call = gateway.Find<CallCounter>();
@@ -170,13 +177,13 @@
   EXPECT_NE(read_of_last_window->key, key);
   EXPECT_EQ(read_of_last_window->amount, 0);
   gateway.Advance(0.004);
-  gateway.ReplyFromCounter(read_of_last_window->key, 20);  // a burst, and all that the rate gave
+  gateway.ReplyFromCounter(read_of_last_window->key, 20);  // a burst plus all units that the rate added
   EXPECT_FALSE(gateway.Forwarded());
   EXPECT_TRUE(gateway.Rejected());
   const auto* correction = gateway.Find<CallCounter>();
   ASSERT_NE(correction, nullptr);
   EXPECT_EQ(correction->key, key);
-  EXPECT_EQ(correction->amount, 8);  // ten carried over, less the two units that were not forwarded
+  EXPECT_EQ(correction->amount, 8);  // ten units carried over, minus the two that were not forwarded
 }
 
 }  // namespace
--- a/tests/policy/token_bucket_test.cpp
+++ b/tests/policy/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// A tenant's bucket of cost units and its ceiling: refill and charge.
+// Tests of TokenBucket as the bucket of a tenant's quota and of its ceiling: refill and charge.
 #include <gtest/gtest.h>
 
 #include "support/policy_fixture.h"
@@ -15,11 +15,11 @@
   PolicyFixture gateway(settings);
   gateway.SetTime(100);  // the start of a window
   EXPECT_EQ(gateway.ServeRequests(30), 10);
-  gateway.SetTime(102.001);  // two seconds at two units a second
+  gateway.SetTime(102.001);  // 2 s at 2 units/s
   EXPECT_EQ(gateway.ServeRequests(30), 4);
 }
 
-TEST(TokenBucket, RejectionCarriesTheLongestRetryAfter) {
+TEST(TokenBucket, RejectionCarriesTheMaximumRetryAfter) {
   PolicyFixture gateway(MakeSettings());
   while (gateway.ServeRequest()) {
   }
@@ -27,10 +27,10 @@
   EXPECT_EQ(gateway.Find<RejectRequest>()->retry_after_s, 2);
 }
 
-// A gateway restarts, or the counter loses its counts: nothing says any more what a tenant has spent. With a
-// full ceiling at the start, or one that the counter can refill, the tenant would pass the ceiling of its
-// plan after each such failure. So each gateway holds its part of the ceiling by itself, and starts with
-// none.
+// After a restart of a gateway, or if the counter loses its counts, a tenant's previous usage is unknown. If
+// the ceiling started full or could be refilled from the counter's totals, the tenant would exceed the
+// ceiling of its plan after each such failure. Each gateway must therefore enforce its own part of the
+// ceiling locally and start with an empty bucket.
 TEST(TokenBucket, CeilingIsSplitOverTheIngressGatewaysAndStartsEmpty) {
   Settings settings = MakeSettings();
   settings.plans[0].rate_units_per_s = 1000;
@@ -47,10 +47,10 @@
   int forwarded = 0;
   for (int i = 0; i < 200; ++i) {
     forwarded += gateway.ServeRequest({.ingress_gateways = 3}) ? 1 : 0;
-    // A counter that has no usage of this tenant changes nothing.
+    // Replies without any usage of this tenant must not change the result.
     for (const CallCounter& call : gateway.TakeCounterCalls()) gateway.ReplyFromCounter(call.key, 0);
   }
-  EXPECT_EQ(forwarded, 21);  // a third of the burst and of nearly all the slack
+  EXPECT_EQ(forwarded, 21);  // a third of the burst and of almost all of the slack
 }
 
 }  // namespace
