--- a/tests/config/settings_parser_test.cpp
+++ b/tests/config/settings_parser_test.cpp
@@ -9,7 +9,7 @@
 namespace gateway::config {
 namespace {
 
-std::string GoodSettings() {
+std::string ValidSettings() {
   return "me=0\npeers-total=3\nzone=2\nresolution-s=0.002\ndiscovery=pushed\nspecifics.units-top=4\n"
          "specifics.may-count=true\nspecifics.counter-timeout-s=0.03\nspecifics.counter-price=0.02\n"
          "prices.cross-zone=0.01\nlimits.cancel=true\nlimits.parallel-tries=false\nlimits.retry-after=false\n"
@@ -26,8 +26,8 @@
          "tiers-of-service.0.value-factor=0.72\ntiers-of-service.0.parallel=2\n";
 }
 
-// The message of the error; empty where the text is sound.
-std::string ErrorOf(const std::string& text) {
+// Returns the error message, or an empty string if the text is valid.
+std::string ParseErrorMessage(const std::string& text) {
   try {
     ParseSettings(text);
   } catch (const ConfigError& error) {
@@ -37,7 +37,7 @@
 }
 
 TEST(SettingsParser, IgnoresUnknownKeys) {
-  policy::Settings settings = ParseSettings(GoodSettings() + "new-thing.7=abc,def\n");
+  policy::Settings settings = ParseSettings(ValidSettings() + "new-thing.7=abc,def\n");
   EXPECT_EQ(settings.gateway_count, 3);
   EXPECT_EQ(settings.classes.at(0).idempotency, policy::Idempotency::kIdempotencyKey);
   EXPECT_EQ(settings.classes.at(0).deduplication_scope, policy::DeduplicationScope::kCell);
@@ -45,32 +45,32 @@
   EXPECT_EQ(settings.plans.at(0).max_concurrent_attempts, 2);
 }
 
-// The settings are cut off or spoilt on the way. Each key that is missing or unreadable has to be named, so
-// that an operator finds it; none may be replaced by a default.
+// The settings text is truncated or corrupted in transit. The error must name the missing or unreadable key,
+// so that an operator can find it, and no such key may be replaced by a default.
 TEST(SettingsParser, NamesEachMissingOrUnreadableKey) {
-  std::string good = GoodSettings();
+  std::string valid = ValidSettings();
   size_t begin = 0;
-  while (begin < good.size()) {
-    size_t end = good.find('\n', begin) + 1;
-    std::string line = good.substr(begin, end - begin);
+  while (begin < valid.size()) {
+    size_t end = valid.find('\n', begin) + 1;
+    std::string line = valid.substr(begin, end - begin);
     std::string key = line.substr(0, line.find('='));
-    std::string without = good.substr(0, begin) + good.substr(end);
-    EXPECT_EQ(ErrorOf(without), "setting is missing: " + key);
-    std::string unreadable = good.substr(0, begin) + key + "=?\n" + good.substr(end);
-    EXPECT_EQ(ErrorOf(unreadable), "setting is unreadable: " + key + "=?");
+    std::string missing = valid.substr(0, begin) + valid.substr(end);
+    EXPECT_EQ(ParseErrorMessage(missing), "setting is missing: " + key);
+    std::string unreadable = valid.substr(0, begin) + key + "=?\n" + valid.substr(end);
+    EXPECT_EQ(ParseErrorMessage(unreadable), "setting is unreadable: " + key + "=?");
     begin = end;
   }
 }
 
-// A settings text holds a number that no gateway can work with: negative, not finite, too large for a clock
-// in nanoseconds, or 0 where there has to be some. Taken, it would show only later, as a timer that never
-// ends or a division by zero.
+// The settings text contains a number that no gateway can work with: negative, not finite, too large for a
+// clock in nanoseconds, or 0 where a positive number is needed. If it were accepted, the error would show
+// only later, as a timer that never fires or a division by zero.
 TEST(SettingsParser, RejectsNumbersOutOfRange) {
-  std::string good = GoodSettings();
+  std::string valid = ValidSettings();
   auto expect_unreadable = [&](const std::string& key, const std::string& value) {
     std::string line = key;
     line.append("=").append(value);
-    EXPECT_EQ(ErrorOf(good + line), "setting is unreadable: " + line);
+    EXPECT_EQ(ParseErrorMessage(valid + line), "setting is unreadable: " + line);
   };
   for (const char* key :
        {"resolution-s", "limits.connect-timeout-s", "invariants.warm-after-s", "peers-total",
@@ -81,7 +81,8 @@
                           "request-classes.0.hard-limit-s", "tiers-of-service.0.store-size"}) {
     expect_unreadable(key, "0");
   }
-  EXPECT_EQ(ErrorOf(good + "tiers-of-service.0.units-per-s=0\ntiers-of-service.0.store-size=0"), "");
+  EXPECT_EQ(ParseErrorMessage(valid + "tiers-of-service.0.units-per-s=0\ntiers-of-service.0.store-size=0"),
+            "");
 }
 
 }  // namespace
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,4 +1,5 @@
-// The adapter as the simulator runs it: a program, its exit status and what it writes to standard error.
+// Tests of the simulator adapter as the simulator runs it: as a program, by its exit status and its standard
+// error output.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -15,7 +16,8 @@
 using test_support::Frame;
 using test_support::Hex;
 
-// Returns the exit status, or -1 where the program did not exit by itself.
+// Runs the adapter with `input` as standard input and stores its standard error output in `errors`. Returns
+// the exit status, or -1 if the program was terminated by a signal.
 int RunAdapter(const std::string& input, std::string* errors) {
   std::string base = testing::TempDir() + "simulator_adapter_" + std::to_string(getpid());
   std::FILE* file = std::fopen((base + ".in").c_str(), "wb");
@@ -31,12 +33,12 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
 
-TEST(SimulatorAdapter, EndsCleanlyOrSaysWhatIsWrong) {
+TEST(SimulatorAdapter, ExitsCleanlyOrReportsTheError) {
   std::string errors;
-  std::string empty = Hex("10000000 508d976e12d32040 00000000");
-  EXPECT_EQ(RunAdapter(empty, &errors), 0);
+  std::string empty_batch = Hex("10000000 508d976e12d32040 00000000");
+  EXPECT_EQ(RunAdapter(empty_batch, &errors), 0);
   EXPECT_EQ(errors, "");
-  EXPECT_EQ(RunAdapter(empty + "ab", &errors), 1);
+  EXPECT_EQ(RunAdapter(empty_batch + "ab", &errors), 1);
   EXPECT_NE(errors.find("frame length"), std::string::npos);
   EXPECT_EQ(RunAdapter(Hex("ffffffff 508d976e12d32040 00000000"), &errors), 1);
   EXPECT_NE(errors.find("too large"), std::string::npos);
--- a/tests/simulator/frame_reader_test.cpp
+++ b/tests/simulator/frame_reader_test.cpp
@@ -14,8 +14,8 @@
 using test_support::Frame;
 using test_support::Hex;
 
-// What is wrong with the frame; empty for a good one.
-std::string ErrorOf(const std::string& frame) {
+// Returns the error message, or an empty string if the frame is valid.
+std::string ParseErrorMessage(const std::string& frame) {
   try {
     ParseBatch(frame);
   } catch (const FrameError& error) {
@@ -24,7 +24,7 @@
   return "";
 }
 
-// The example batches of WIRE 3.
+// The batches of the following tests are the examples of WIRE 3.
 TEST(FrameReader, EmptyBatch) {
   EventBatch batch = ParseBatch(Hex("10000000 508d976e12d32040 00000000"));
   EXPECT_NEAR(batch.now_s, 8.412, 1e-3);
@@ -84,36 +84,36 @@
   EXPECT_TRUE(std::holds_alternative<InstanceStopped>(batch.events[5].body));
 }
 
-// A frame may be cut anywhere, with the length it had before or with the length that is left. Neither may be
-// read as a shorter batch.
-TEST(FrameReader, EveryTruncationIsAFrameError) {
+// A frame is truncated at any byte, with its length field unchanged or set to the remaining length. Neither
+// frame may be parsed as a shorter batch.
+TEST(FrameReader, RejectsEveryTruncatedFrame) {
   std::string complete =
       Hex("53000000 508d976e12d32040 03000000"
           "fc03 03000000 c4913a5d 00 0000 640ad2557c3bf091 b81e85eb51b8ce3f 00000040 00004040 0000803f 0100"
           "2404 03000000 4d00000000000000 1a04 05000000 192b6f0e");
   for (size_t kept = 0; kept < complete.size(); ++kept) {
     std::string cut = complete.substr(0, kept);
-    EXPECT_NE(ErrorOf(cut), "") << kept;
+    EXPECT_NE(ParseErrorMessage(cut), "") << "truncated to " << kept << " bytes";
     if (kept < 16) continue;
     auto size = static_cast<uint32_t>(kept);
     std::memcpy(cut.data(), &size, 4);
-    EXPECT_NE(ErrorOf(cut), "") << kept;
+    EXPECT_NE(ParseErrorMessage(cut), "") << "truncated to " << kept << " bytes";
   }
-  EXPECT_EQ(ErrorOf(complete), "");
+  EXPECT_EQ(ParseErrorMessage(complete), "");
 }
 
-TEST(FrameReader, MalformedFramesAreNamed) {
-  EXPECT_NE(ErrorOf(Frame(Hex("0f27 03000000 00000000"), 1)).find("unknown event code 9999"),
+TEST(FrameReader, ErrorsDescribeMalformedFrames) {
+  EXPECT_NE(ParseErrorMessage(Frame(Hex("0f27 03000000 00000000"), 1)).find("unknown event code 9999"),
             std::string::npos);
-  EXPECT_NE(ErrorOf(Frame(Hex("5604 10 00000000"), 1)).find("table number 16"), std::string::npos);
-  EXPECT_NE(ErrorOf(Frame(Hex("5604 00 ffffffff"), 1)).find("fewer entries"), std::string::npos);
-  EXPECT_NE(ErrorOf(Frame("", 5)).find("fewer records"), std::string::npos);
-  EXPECT_NE(ErrorOf(Frame(Hex("1a04 05000000 192b6f0e 00"), 1)).find("after its last record"),
+  EXPECT_NE(ParseErrorMessage(Frame(Hex("5604 10 00000000"), 1)).find("table number 16"), std::string::npos);
+  EXPECT_NE(ParseErrorMessage(Frame(Hex("5604 00 ffffffff"), 1)).find("fewer entries"), std::string::npos);
+  EXPECT_NE(ParseErrorMessage(Frame("", 5)).find("fewer records"), std::string::npos);
+  EXPECT_NE(ParseErrorMessage(Frame(Hex("1a04 05000000 192b6f0e 00"), 1)).find("after its last record"),
             std::string::npos);
-  EXPECT_NE(ErrorOf(Frame(Hex("4c04 03000000 22fdf675e09c613f 00001842 07 90f6890000000000"), 1))
+  EXPECT_NE(ParseErrorMessage(Frame(Hex("4c04 03000000 22fdf675e09c613f 00001842 07 90f6890000000000"), 1))
                 .find("unknown outcome code 7"),
             std::string::npos);
-  EXPECT_NE(ErrorOf(Frame(Hex("f203 03000000 09 2900000000000000 00"), 1)).find("view scope 9"),
+  EXPECT_NE(ParseErrorMessage(Frame(Hex("f203 03000000 09 2900000000000000 00"), 1)).find("view scope 9"),
             std::string::npos);
 }
 
--- a/tests/simulator/frame_writer_test.cpp
+++ b/tests/simulator/frame_writer_test.cpp
@@ -11,7 +11,7 @@
 
 using test_support::Hex;
 
-// The example replies of WIRE 3.
+// The replies of the following tests are the examples of WIRE 3.
 TEST(FrameWriter, EmptyReply) {
   FrameWriter reply;
   EXPECT_EQ(reply.Finish(), Hex("04000000"));
