--- a/tests/policy/admission_policy_test.cpp
+++ b/tests/policy/admission_policy_test.cpp
@@ -21,7 +21,7 @@
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
 
 // A backend does not answer, and the request may not be retried. The gateway must send exactly one final
-// response, before the deadline of the client, who would not read it later.
+// response, before the client's deadline, because the client does not read it later.
 TEST(AdmissionPolicy, SendsOneFinalResponseBeforeTheClientDeadline) {
   PolicyFixture gateway(MakeSettings());
   const uint32_t request = gateway.SendRequest({.request_class = kNonIdempotentClass, .time_left_s = 0.2});
--- a/tests/policy/counter_schedule_test.cpp
+++ b/tests/policy/counter_schedule_test.cpp
@@ -62,7 +62,7 @@
 }
 
 // Sends a request of a tenant with two ingress gateways. If it causes a counter call, the call times out
-// immediately and is added to `calls`. Returns whether the request was forwarded, before or after the
+// immediately and `*calls` is increased. Returns whether the request was forwarded, before or after the
 // timeout.
 bool ServeWhileTheCounterIsSilent(PolicyFixture* gateway, int* calls) {
   const uint32_t request = gateway->SendRequest({.ingress_gateways = 2});
@@ -180,7 +180,7 @@
 
 // Sends a request of the tenant and serves it if it is forwarded. Returns whether it was rejected, which
 // means that it was neither forwarded nor waits for the counter.
-bool IsRejectedOnArrival(PolicyFixture* gateway, uint64_t tenant) {
+bool SendAndCheckRejected(PolicyFixture* gateway, uint64_t tenant) {
   const uint32_t request = gateway->SendRequest({.tenant = tenant, .ingress_gateways = 100});
   const bool rejected = gateway->Rejected();
   if (gateway->Forwarded()) gateway->CompleteAttempt(request, CallResult::kOk);
@@ -200,8 +200,8 @@
   int rejected = 0;
   for (uint64_t tenant = 1000; tenant < 1040; ++tenant) {
     gateway.Advance(0.3);
-    IsRejectedOnArrival(&gateway, tenant);  // uses up this gateway's part
-    rejected += IsRejectedOnArrival(&gateway, tenant) ? 1 : 0;
+    SendAndCheckRejected(&gateway, tenant);  // uses up this gateway's part
+    rejected += SendAndCheckRejected(&gateway, tenant) ? 1 : 0;
   }
   EXPECT_EQ(rejected, 0);
 }
--- a/tests/policy/load_shedder_test.cpp
+++ b/tests/policy/load_shedder_test.cpp
@@ -37,7 +37,8 @@
   EXPECT_GT(low_priority_forwarded, 0);
 }
 
-// Serves 200 requests of new tenants one at a time and returns how many of them were forwarded.
+// Sends 200 requests of new tenants one at a time, each of which takes `latency_s` if it is forwarded.
+// Returns how many were forwarded.
 int CountAdmittedAtLatency(double latency_s) {
   Settings settings = MakeSettings();
   settings.counter_enabled = false;
@@ -62,7 +63,7 @@
   EXPECT_LT(CountAdmittedAtLatency(0.5), 130);
 }
 
-// Serves 200 requests of new tenants, ten at a time. The responses to each ten arrive after `latency_s` and
+// Sends 200 requests of new tenants, ten at a time. The responses to each ten arrive after `latency_s` and
 // are read after the process was stalled for another `stall_s`. Returns how many requests were forwarded.
 int CountAdmittedWithStalls(double latency_s, double stall_s) {
   constexpr int kRounds = 20;
@@ -86,9 +87,9 @@
   return forwarded;
 }
 
-// The process stalls while attempts are in flight, so all their responses are read late. This does not mean
-// that the backends are slow. A gateway that took it for slow backends would reject most requests for
-// seconds.
+// The process stalls while attempts are in flight, so all their responses are read late, although the
+// backends are fast. If the gateway counted the stall as latency of the backends, it would reject most
+// requests for seconds.
 TEST(LoadShedder, ProcessStallsDoNotCountAsBackendLatency) {
   for (double stall_s : {0.15, 0.3, 0.7, 1.0})
     EXPECT_EQ(CountAdmittedWithStalls(0.05, stall_s), 200) << "stalls of " << stall_s << " s";
--- a/tests/policy/outlier_detector_test.cpp
+++ b/tests/policy/outlier_detector_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_LE(attempts_at_failing_backend, 4);
 }
 
-// Half of the backends fail. A fault that affects so many is probably not in the backends. If all failing
+// Half of the backends fail. A fault that affects so many backends is probably not their own. If all failing
 // backends were ejected, the remaining ones would be full and requests would be rejected. Ejections must be
 // ignored if more than a small part of the fleet is ejected.
 TEST(OutlierDetector, EjectionsAreIgnoredWhenHalfOfTheFleetFails) {
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -56,7 +56,7 @@
   constexpr int kRestartStep = 300;
   constexpr int kLatencySteps = 10;  // responses take 100 ms
   PolicyFixture gateway(MakeSettings());
-  std::vector<std::optional<uint32_t>> forwarded;  // by step, the request if it was forwarded
+  std::vector<std::optional<uint32_t>> forwarded;  // by step: the request if it was forwarded
   int warming_up_forwarded = 0;
   int all_forwarded = 0;
   for (int step = 0; step < 600; ++step) {
--- a/tests/policy/tenant_quota_test.cpp
+++ b/tests/policy/tenant_quota_test.cpp
@@ -36,7 +36,7 @@
 // bucket, the tenant would get two bursts within milliseconds. The next window must start with what was left
 // in the bucket.
 TEST(TenantQuota, EmptyBucketCarriesOverToTheNextWindow) {
-  PolicyFixture gateway(MakeSettings(), {.start_s = 104.98});
+  PolicyFixture gateway(MakeSettings(), {.started_at_s = 104.98});
   ASSERT_TRUE(gateway.ServeRequest({.ingress_gateways = 3}));
   const CallCounter first_call = gateway.counter_calls().at(0);
   gateway.SetTime(104.99);
@@ -109,8 +109,8 @@
 
 // The counter fails, and then the tenant requests far more than its quota at every gateway. Each gateway
 // knows only that the others used little before. If each gateway used all of the remaining quota, the fleet
-// would exceed the quota by a factor of the number of gateways. While the counter is silent, a gateway must
-// stay within its part of the tenant's usage as of the last replies.
+// would use the quota as many times as it has gateways. While the counter is silent, a gateway must stay
+// within its part of the tenant's usage as of the last replies.
 TEST(TenantQuota, StaysWithinItsLastKnownPartWhileTheCounterIsSilent) {
   PolicyFixture gateway(MakeSettings());
   ASSERT_NO_FATAL_FAILURE(ServeEqualPartsWithCounterReplies(&gateway));
@@ -164,7 +164,7 @@
 // empty, the tenant would get a full burst again. The gateway must first read the key of the last window and
 // add the excess to the new key, where the other gateways see it.
 TEST(TenantQuota, FirstRequestOfAWindowCarriesOverTheExcessOfTheLast) {
-  PolicyFixture gateway(MakeLargeFleetSettings(), {.start_s = 100.5});  // early in a window of 5 s
+  PolicyFixture gateway(MakeLargeFleetSettings(), {.started_at_s = 100.5});  // early in a window of 5 s
   gateway.SendRequest({.cost_units = 2, .ingress_gateways = 100});
   const auto* call = gateway.Find<CallCounter>();
   ASSERT_NE(call, nullptr);
--- a/tests/support/policy_fixture.cpp
+++ b/tests/support/policy_fixture.cpp
@@ -78,7 +78,7 @@
 }
 
 PolicyFixture::PolicyFixture(const Settings& settings, const PolicyFixtureOptions& options)
-    : now_s_(options.start_s), policy_(settings, options.seed, options.start_s, &actions_) {
+    : now_s_(options.started_at_s), policy_(settings, options.seed, options.started_at_s, &actions_) {
   UpdateEndpoints(options.endpoint_update, options.endpoints);
   actions_.clear();
 }
@@ -166,8 +166,8 @@
   constexpr uint64_t kFirstTenant = 100000;
   constexpr double kPauseS = 0.01;
   int forwarded = 0;
-  const double end_s = now_s_ + duration_s;
-  while (now_s_ < end_s) {
+  const double end_at_s = now_s_ + duration_s;
+  while (now_s_ < end_at_s) {
     const uint32_t request_id = SendRequest({.time_left_s = 1.4, .tenant = kFirstTenant + last_request_id_});
     if (!Forwarded()) {
       Advance(kPauseS);
--- a/tests/support/policy_fixture.h
+++ b/tests/support/policy_fixture.h
@@ -41,7 +41,7 @@
   std::vector<policy::Endpoint> endpoints = MakeEndpoints(4);
   // Kind of the update that delivers `endpoints`.
   policy::EndpointUpdateKind endpoint_update = policy::EndpointUpdateKind::kCached;
-  double start_s = 100;
+  double started_at_s = 100;
   uint64_t seed = 7;
 };
 
