--- a/tests/support/policy_fixture.cpp
+++ b/tests/support/policy_fixture.cpp
@@ -78,21 +78,21 @@
 }
 
 PolicyFixture::PolicyFixture(const Settings& settings, const PolicyFixtureOptions& options)
-    : now_s_(options.start_s), policy_(settings, options.seed, options.start_s, &actions_) {
+    : now_s_(options.started_at_s), policy_(settings, options.seed, options.started_at_s, &actions_) {
   UpdateEndpoints(options.endpoint_update, options.endpoints);
   actions_.clear();
 }
 
-uint32_t PolicyFixture::Arrive(const RequestOptions& request) {
-  Request arrived;
-  arrived.id = ++last_request_id_;
-  arrived.request_class = request.request_class;
-  arrived.tenant = request.tenant;
-  arrived.time_left_s = request.time_left_s;
-  arrived.cost_units = request.cost_units;
-  arrived.ingress_gateways = request.ingress_gateways;
-  Deliver([&](Actions* actions) { policy_.OnRequest(now_s_, arrived, actions); });
-  return arrived.id;
+uint32_t PolicyFixture::SendRequest(const RequestOptions& request) {
+  Request sent_request;
+  sent_request.id = ++last_request_id_;
+  sent_request.request_class = request.request_class;
+  sent_request.tenant = request.tenant;
+  sent_request.time_left_s = request.time_left_s;
+  sent_request.cost_units = request.cost_units;
+  sent_request.ingress_gateways = request.ingress_gateways;
+  Deliver([&](Actions* actions) { policy_.OnRequest(now_s_, sent_request, actions); });
+  return sent_request.id;
 }
 
 void PolicyFixture::Stall(double duration_s) {
@@ -149,7 +149,7 @@
 }
 
 bool PolicyFixture::ServeRequest(const RequestOptions& request, double actual_cost_units) {
-  const uint32_t request_id = Arrive(request);
+  const uint32_t request_id = SendRequest(request);
   if (const auto* call = Find<CallCounter>()) counter_calls_.push_back(*call);
   if (!Forwarded()) return false;
   CompleteAttempt(request_id, CallResult::kOk, actual_cost_units);
@@ -166,9 +166,9 @@
   constexpr uint64_t kFirstTenant = 100000;
   constexpr double kPauseS = 0.01;
   int forwarded = 0;
-  const double end_s = now_s_ + duration_s;
-  while (now_s_ < end_s) {
-    const uint32_t request_id = Arrive({.time_left_s = 1.4, .tenant = kFirstTenant + last_request_id_});
+  const double end_at_s = now_s_ + duration_s;
+  while (now_s_ < end_at_s) {
+    const uint32_t request_id = SendRequest({.time_left_s = 1.4, .tenant = kFirstTenant + last_request_id_});
     if (!Forwarded()) {
       Advance(kPauseS);
       continue;
