--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -1,4 +1,4 @@
-// Connections of a running gateway to clients and backends: limits, idle time and reuse.
+// Tests of a running gateway's connections to clients and backends: their limits, idle times and reuse.
 #include <netinet/in.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -17,8 +17,9 @@
 
 using namespace test_support;
 
-// Clients connect and send nothing, only empty lines, half a head or half a body, and so does one whose first
-// request was served. Each would hold a descriptor for ever: the gateway has to close them itself.
+// Clients connect and then send nothing, only empty lines, part of a head or part of a body. Another one
+// sends part of a second request after its first was served. Each would hold a descriptor for ever if the
+// gateway did not close the connection itself.
 TEST(GatewayConnections, ClosesClientsThatNeverCompleteARequest) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
@@ -31,49 +32,51 @@
     incomplete.back()->Write(text);
   }
   served->Write(MakeRequest("quote").substr(0, 60));
-  auto begin = std::chrono::steady_clock::now();
+  auto began_at = std::chrono::steady_clock::now();
   for (auto& connection : incomplete) EXPECT_TRUE(connection->AwaitEnd());
   EXPECT_TRUE(served->AwaitEnd());
-  EXPECT_LT(std::chrono::steady_clock::now() - begin, std::chrono::seconds(kLimitS / 2))
-      << "by its own doing";
+  EXPECT_LT(std::chrono::steady_clock::now() - began_at, std::chrono::seconds(kLimitS / 2))
+      << "the gateway did not close the connections by a time-out of its own";
 }
 
-// More clients than there are descriptors send half a request and stop. A client with a complete request
-// still has to be served: incomplete ones are evicted as idle ones are.
+// More clients than there are descriptors send part of a request and stop. A client with a complete request
+// still has to be served: clients with incomplete requests are evicted just as idle ones are.
 TEST(GatewayConnections, EvictsIncompleteRequestsForANewClient) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   json config = ConfigJson(0, 0);
   config["limits"]["sockets"] = 64;
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
-  std::vector<std::unique_ptr<TestConnection>> half;
+  std::vector<std::unique_ptr<TestConnection>> incomplete;
   for (int i = 0; i < 80; ++i) {
-    half.push_back(fixture.gateway->Connect());
-    half.back()->Write(MakeRequest("quote").substr(0, 60));
+    incomplete.push_back(fixture.gateway->Connect());
+    incomplete.back()->Write(MakeRequest("quote").substr(0, 60));
   }
   EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
 }
 
-// 400 clients each send nearly all of a 64 KiB body and stop. The descriptors would do for them, the memory
-// would not: the memory limit bounds the number of clients too, and new ones are still served.
+// 400 clients each send nearly all of a 64 KiB body and stop. There are enough descriptors for them but not
+// enough memory, so the memory limit has to bound the number of clients too. New clients are still served.
 TEST(GatewayConnections, BoundsClientsByTheMemoryLimit) {
   json config = ConfigJson(0, 0);
   config["limits"]["memory_mb"] = 16;
   StubBackend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config);
-  std::string half = MakeRequest("send-lead", 1, 3000, "Content-Length: 65536\r\n") + std::string(65000, 'b');
+  std::string incomplete_request =
+      MakeRequest("send-lead", 1, 3000, "Content-Length: 65536\r\n") + std::string(65000, 'b');
   std::vector<std::unique_ptr<TestConnection>> clients;
   for (int i = 0; i < 400; ++i) {
     clients.push_back(fixture.gateway->Connect());
-    clients.back()->Write(half);
+    clients.back()->Write(incomplete_request);
   }
   EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).status(), 200);
   EXPECT_LT(fixture.gateway->PeakResidentMb(), 16);
 }
 
-// A client sends two requests and a part of a third without waiting. Bytes that came ahead of a response
-// belong to the next request; lost or misplaced, they would break every request after them.
+// A client sends two requests and part of a third without waiting for a response. Bytes that arrive before a
+// response is sent belong to the next request. If they were lost or misplaced, every later request on the
+// connection would be malformed.
 TEST(GatewayConnections, ServesPipelinedRequestsInOrder) {
-  StubBackend backend([](const HttpMessage& m, TestConnection&) { return OkResponse(m.body); });
+  StubBackend backend([](const HttpMessage& request, TestConnection&) { return OkResponse(request.body); });
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
   auto client = fixture.gateway->Connect();
   std::string third = MakeRequest("send-lead", 1, 3000, "", "three");
@@ -85,8 +88,9 @@
   EXPECT_EQ(client->Read().body, "three");
 }
 
-// Responds, and then makes the connection stale: by a close, by bytes that nobody asked for, or by a header
-// that announces a close. `closed`: the gateway has closed the connection on which such bytes came.
+// Responds and makes the connection stale, by closing it ("close"), by sending bytes after the response
+// ("bytes") or by a header that announces a close ("header"). With "bytes", reports to `closed` when the
+// gateway has closed the connection.
 std::string RespondAndBecomeStale(const std::string& how, TestConnection& connection, Event* closed) {
   if (how == "header") return OkResponse("x", "Connection: close\r\n");
   connection.Write(OkResponse("x") + (how == "bytes" ? "unasked" : ""));
@@ -105,19 +109,19 @@
   if (how == "bytes") {
     EXPECT_TRUE(closed.Wait());
   }
-  // The end may cross the next request; from the one after it on the connection is known to be over.
+  // The backend's close may cross the next request. Any request after that one finds the connection closed.
   if (how == "close") Exchange(*client, MakeRequest("quote"));
   EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << how;
 }
 
-// A backend closes an idle connection, announces its close, or sends bytes that nobody asked for. The next
-// request on such a connection would end as a reset, or get a response that is not its own.
+// A backend closes an idle connection, announces that it will close it, or sends unsolicited bytes on it. The
+// next request on such a connection would be reset, or get a response that is not its own.
 TEST(GatewayConnections, ReusesNoStaleBackendConnection) {
   for (const char* how : {"close", "bytes", "header"}) ExpectStaleConnectionNotReused(how);
 }
 
-// A backend closes connections that have been idle for some time. A request written just then ends as a reset
-// that may have run, so the gateway has to close its idle connections first.
+// Backends close connections that have been idle for some time. A request written at that very moment ends in
+// a reset and may have run, so the gateway has to close its idle connections first.
 TEST(GatewayConnections, ClosesIdleBackendConnectionsBeforeTheirIdleLimit) {
   Event closed;
   StubBackend backend([&](const HttpMessage&, TestConnection& connection) {
@@ -132,23 +136,22 @@
   EXPECT_TRUE(closed.Wait());
 }
 
-// A backend's listen queue is full, and the connection comes up only when its attempt was given up long ago.
-// No byte of the request may go out on it.
-TEST(GatewayConnections, SendsNothingOnABackendConnectionThatComesUpLate) {
-  sockaddr_in at;
-  int fd = OpenLoopbackSocket(&at, 0);
-  ASSERT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+// A backend's accept queue is full, so that the connection is established only after its attempt was given
+// up. No byte of the request may be sent on it.
+TEST(GatewayConnections, SendsNothingOnABackendConnectionThatIsEstablishedLate) {
+  sockaddr_in address;
+  int fd = OpenLoopbackSocket(&address, 0);
+  ASSERT_EQ(bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
   ASSERT_EQ(listen(fd, 0), 0);
-  socklen_t size = sizeof(at);
-  getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
-  auto filler =
-      TestConnection::ConnectTo(ntohs(at.sin_port));  // takes the only place in the listener's queue
+  socklen_t size = sizeof(address);
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  auto filler = TestConnection::ConnectTo(ntohs(address.sin_port));  // fills the listener's accept queue
   {
-    GatewayFixture fixture(json::array({EndpointEntry("s1", ntohs(at.sin_port))}));
+    GatewayFixture fixture(json::array({EndpointEntry("s1", ntohs(address.sin_port))}));
     auto client = fixture.gateway->Connect();
     EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 503);
   }
-  // The gateway has ended, so all that it ever sent is here.
+  // The gateway has exited, so everything that it ever sent has arrived.
   pollfd ready{fd, POLLIN, 0};
   for (int i = 0; i < 20 && poll(&ready, 1, 0) > 0; ++i) {
     TestConnection late(accept(fd, nullptr, nullptr));
@@ -159,14 +162,14 @@
   close(fd);
 }
 
-// More clients connect than there are descriptors, within the gateway's configured limit and with fewer
-// descriptors than that. Idle clients are evicted, further ones wait to be accepted, and once clients have
-// left requests are served again.
+// More clients connect than the process may have descriptors, whose number is once the gateway's configured
+// limit and once below it. Idle clients have to be evicted or new ones wait to be accepted, and requests are
+// served again after clients have disconnected.
 TEST(GatewayConnections, SurvivesRunningOutOfDescriptors) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   json config = ConfigJson(0, 0);
   config["limits"]["sockets"] = 64;
-  for (rlim_t limit : {64, 16}) {  // within the configured limit, and below it
+  for (rlim_t limit : {64, 16}) {  // equal to the configured limit, and below it
     GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}), config, API_GATEWAY, limit);
     std::vector<std::unique_ptr<TestConnection>> idle;
     while (idle.size() < 60) idle.push_back(fixture.gateway->Connect());
@@ -182,15 +185,16 @@
   }
 }
 
-// Idle clients hold every descriptor that clients may have while discovery is silent and the counter has
-// gone. Then both come back at other addresses. The gateway still has descriptors for its connections to them
-// and to a backend that it did not know before; idle clients are evicted and new ones served.
+// Idle clients hold every descriptor that clients may use while discovery is silent and the counter is down.
+// Then a reload gives other addresses for both. The gateway must still have descriptors for its connections
+// to them and to a backend that is new to it, and must evict idle clients and serve new ones. Without
+// reserved descriptors it would stay cut off from discovery and the counter.
 TEST(GatewayConnections, ReservesDescriptorsForItsOwnConnections) {
   constexpr rlim_t kDescriptors = 64;
-  StubBackend before(RespondsWith(OkResponse("before"))), after(RespondsWith(OkResponse("after")));
+  StubBackend old_backend(RespondsWith(OkResponse("before"))), new_backend(RespondsWith(OkResponse("after")));
   json config = ConfigJson(0, 0);
   config["limits"]["sockets"] = kDescriptors;
-  GatewayFixture fixture(json::array({EndpointEntry("s1", before.port())}), config, API_GATEWAY,
+  GatewayFixture fixture(json::array({EndpointEntry("s1", old_backend.port())}), config, API_GATEWAY,
                          kDescriptors);
   fixture.discovery.SetSilent(true);
   fixture.counter.Stop();
@@ -198,18 +202,18 @@
   idle.reserve(200);
   for (int i = 0; i < 200; ++i) idle.push_back(fixture.gateway->Connect());
   EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).body, "before")
-      << "a new client is served";
+      << "a new client is not served";
   StubCounter counter([](const std::string&, double) { return BulkString("0"); });
   StubDiscovery discovery;
-  discovery.Set(json::array({EndpointEntry("s2", after.port())}));
+  discovery.Set(json::array({EndpointEntry("s2", new_backend.port())}));
   config["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
   config["counter"] = "127.0.0.1:" + std::to_string(counter.port());
   fixture.gateway->Reload(config.dump());
-  EXPECT_TRUE(discovery.AwaitApplied()) << "its connection to discovery comes up";
+  EXPECT_TRUE(discovery.AwaitApplied()) << "the gateway cannot connect to discovery";
   EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote")).body, "after")
-      << "and one to a backend";
+      << "the gateway cannot connect to a new backend";
   while (counter.calls.count() == 0) Exchange(*fixture.gateway->Connect(), MakeRequest("quote", 2));
-  EXPECT_TRUE(idle.front()->AwaitEnd()) << "the one idle longest was evicted";
+  EXPECT_TRUE(idle.front()->AwaitEnd()) << "the client that was idle longest was not evicted";
 }
 
 }  // namespace
