--- a/tests/net/client_left_test.cpp
+++ b/tests/net/client_left_test.cpp
@@ -1,5 +1,5 @@
-// A running gateway whose clients leave before their response: whatever comes first, nothing is sent for
-// them.
+// Tests of a running gateway whose clients disconnect before their response. In whatever order the gateway
+// sees the events, no attempt may be sent for a client that has left.
 #include <chrono>
 #include <csignal>
 #include <memory>
@@ -17,7 +17,7 @@
 
 using namespace test_support;
 
-// A counter whose replies wait until the test releases them.
+// A counter that replies only after the test has released its replies.
 struct DelayedCounter {
   Event called, released;
   StubCounter counter{[this](const std::string&, double) {
@@ -27,20 +27,19 @@
   }};
 };
 
-void Leave(TestConnection& client, bool reset) {
+void Disconnect(TestConnection& client, bool reset) {
   if (reset) return client.Reset();
   client.Close();
 }
 
-// A client leaves, by a close or a reset, while the connection for its attempt is still to come up. When that
-// is up nobody waits for the request any more: nothing may be sent on it, whether or not the settings allow
-// cancellation.
-TEST(ClientLeft, WhileItsBackendConnectionComesUp) {
+// A client disconnects, by a close or a reset, while the connection for its attempt is being established.
+// Once that is established nobody waits for the request any more, so nothing may be sent on it, whether or
+// not the settings allow cancellation.
+TEST(ClientLeft, WhileItsBackendConnectionIsEstablished) {
   for (bool reset : {false, true}) {
     for (bool cancel : {false, true}) {
       ManualListener backend(0);
-      auto filler =
-          TestConnection::ConnectTo(backend.port());  // holds the only place in the listener's queue
+      auto filler = TestConnection::ConnectTo(backend.port());  // fills the listener's accept queue
       json config = ConfigJson(0, 0);
       config["settings"]["limits"]["cancel"] = cancel;
       config["settings"]["limits"]["connect-timeout-s"] = 20.0;
@@ -49,9 +48,9 @@
         auto client = fixture.gateway->Connect();
         client->Write(MakeRequest("send-lead", 1, 60000));
         AwaitConnecting(backend.port());
-        Leave(*client, reset);
-        // Frees the place, so that a connection that is still wanted comes up.
-        auto taken = backend.Accept();
+        Disconnect(*client, reset);
+        // Makes room in the accept queue, so that the connection is established unless the gateway closed it.
+        auto accepted_filler = backend.Accept();
         AwaitConnecting(backend.port(), false);
       }
       EXPECT_EQ(backend.ReceiveAll(), "") << "reset " << reset << " cancel " << cancel;
@@ -73,27 +72,28 @@
   auto client = gateway.Connect();
   client->Write(MakeRequest("send-lead", 2, 60000));
   EXPECT_TRUE(delayed.called.Wait());
-  EXPECT_EQ(backend.requests.count(), 0) << "the request waits";
-  Leave(*client, reset);
-  // When it answers on a later connection, the gateway has seen the end of this one.
+  EXPECT_EQ(backend.requests.count(), 0) << "the request did not wait for the counter";
+  Disconnect(*client, reset);
+  // Once the gateway responds on a later connection, it has seen the end of the client's.
   Exchange(*gateway.Connect(), kReadinessRequest);
   delayed.released.Add();
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
-  EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted";
+  EXPECT_EQ(backend.requests.count(), 1) << "the request of the client that left was forwarded";
 }
 
-// A client leaves while its request waits for the counter's reply. When that comes the request must not be
-// forwarded.
+// A client disconnects while its request waits for the counter's reply. When the reply arrives, the request
+// must not be forwarded.
 TEST(ClientLeft, WhileItsRequestWaitsForTheCounter) {
   for (bool reset : {false, true}) ExpectNothingSentAfterTheCounterReplies(reset);
 }
 
-// In the tests below a client leaves while the gateway is busy, so that the end of the client waits behind
-// another event that would begin an attempt. The process is stopped meanwhile, which brings the events into
-// that order. Cancellation is forbidden, so that nothing but the look at the client before each attempt can
-// keep it back.
+// In the tests below a client disconnects while the gateway is busy, so that the client's end is queued
+// behind another event that would begin an attempt. The tests stop the process meanwhile to bring the events
+// into that order. The settings forbid cancellation, so that only the check of the client's connection before
+// each attempt can prevent it.
 
-// The request and the end of its client are both unread when the gateway goes on: it must not be forwarded.
+// Both the request and the end of its client are unread when the gateway resumes. The request must not be
+// forwarded.
 TEST(ClientLeft, BeforeItsRequestIsRead) {
   for (bool reset : {false, true}) {
     StubBackend backend(RespondsWith(OkResponse("x")));
@@ -103,15 +103,16 @@
     Exchange(*client, kReadinessRequest);
     fixture.gateway->Signal(SIGSTOP);
     client->Write(MakeRequest("quote", 1, 60000));
-    Leave(*client, reset);
+    Disconnect(*client, reset);
     fixture.gateway->Signal(SIGCONT);
     EXPECT_EQ(Exchange(*fixture.gateway->Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
-    EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted; reset " << reset;
+    EXPECT_EQ(backend.requests.count(), 1)
+        << "the request of the client that left was forwarded; reset " << reset;
   }
 }
 
-// The counter's reply comes first, and the client's end stands behind more pipelined bytes than the gateway
-// reads ahead.
+// The counter's reply is handled first, and the client's end is behind more pipelined bytes than the gateway
+// reads ahead. The request must not be forwarded.
 TEST(ClientLeft, BehindPipelinedBytesWhileItsRequestWaitsForTheCounter) {
   DelayedCounter delayed;
   StubBackend backend(RespondsWith(OkResponse("x")));
@@ -122,18 +123,18 @@
   auto client = gateway.Connect();
   client->Write(MakeRequest("send-lead", 2, 60000));
   EXPECT_TRUE(delayed.called.Wait());
-  client->Write(std::string(40000, 'G'));  // more than is read ahead
+  client->Write(std::string(40000, 'G'));  // more than the gateway reads ahead
   Exchange(*gateway.Connect(), kReadinessRequest);
   gateway.Signal(SIGSTOP);
-  delayed.released.Add();  // its reply comes first
+  delayed.released.Add();  // the reply arrives before the client's end
   AwaitArrival({delayed.counter.port()});
   client->EndSending();
   gateway.Signal(SIGCONT);
   EXPECT_EQ(Exchange(*gateway.Connect(), MakeRequest("quote", 1, 60000)).status(), 200);
-  EXPECT_EQ(backend.requests.count(), 1) << "only the request that is still wanted";
+  EXPECT_EQ(backend.requests.count(), 1) << "the request of the client that left was forwarded";
 }
 
-// The connection for the attempt comes up first, the client's end after it.
+// The connection for the attempt is established before the client's end arrives. Nothing may be sent on it.
 TEST(ClientLeft, BehindTheConnectEventOfItsAttempt) {
   for (bool reset : {false, true}) {
     ManualListener backend(0);
@@ -145,19 +146,19 @@
       client->Write(MakeRequest("quote", 1, 60000));
       AwaitConnecting(backend.port());
       fixture.gateway->Signal(SIGSTOP);
-      auto taken = backend.Accept();
+      auto accepted_filler = backend.Accept();
       AwaitConnecting(backend.port(), false);
-      Leave(*client, reset);
+      Disconnect(*client, reset);
       fixture.gateway->Signal(SIGCONT);
     }
     EXPECT_EQ(backend.ReceiveAll(), "") << "reset " << reset;
   }
 }
 
-// Two backends. A request for /connect is answered once there is one at each of them, and one for /fail with
-// an error when the test releases it.
+// Two backends. Requests for /connect get their responses once there is one at each backend. A request for
+// /fail gets an error when the test releases it.
 struct FailingBackends {
-  // Opens one connection to each backend, by the clients' requests.
+  // Makes the gateway open one connection to each backend, by a request from each client.
   void OpenConnections(TestConnection& client, TestConnection& other_client) {
     client.Write(MakeRequest("quote/connect", 1, 60000));
     other_client.Write(MakeRequest("quote/connect", 1, 60000));
@@ -180,31 +181,31 @@
   StubBackend two{[this](const HttpMessage& request, TestConnection&) { return Respond(request); }};
 };
 
-void ExpectNoRetryAfterTheFailure(bool reset) {
+void ExpectNoRetryAfterAFailedAttempt(bool reset) {
   FailingBackends backends;
   GatewayFixture fixture(
       json::array({EndpointEntry("s1", backends.one.port()), EndpointEntry("s2", backends.two.port())}),
       ConfigWithoutCancellation(0, 0));
-  // A connection to each backend is idle, so that a retry would go out at once.
-  auto other = fixture.gateway->Connect(), client = fixture.gateway->Connect();
-  backends.OpenConnections(*other, *client);
+  // Leaves an idle connection to each backend, so that a retry would be sent at once.
+  auto other_client = fixture.gateway->Connect(), client = fixture.gateway->Connect();
+  backends.OpenConnections(*other_client, *client);
   client->Write(MakeRequest("quote/fail", 1, 60000));
   EXPECT_TRUE(backends.failing.Wait());
   fixture.gateway->Signal(SIGSTOP);
   backends.released.Add();
-  AwaitArrival({backends.one.port(), backends.two.port()});  // the failure comes before the client's end
-  // Until the other backend's connection has settled and could take a request.
+  AwaitArrival({backends.one.port(), backends.two.port()});  // the failure arrives before the client's end
+  // Waits until the idle connection to the other backend may be reused.
   std::this_thread::sleep_for(2 * Seconds(BackendConnectionPool::kMinIdleBeforeReuseS));
-  Leave(*client, reset);
+  Disconnect(*client, reset);
   fixture.gateway->Signal(SIGCONT);
-  EXPECT_EQ(Exchange(*other, MakeRequest("quote", 1, 60000)).status(), 200);
-  EXPECT_EQ(backends.failing.count(), 1) << "no retry; reset " << reset;
+  EXPECT_EQ(Exchange(*other_client, MakeRequest("quote", 1, 60000)).status(), 200);
+  EXPECT_EQ(backends.failing.count(), 1) << "the request was retried; reset " << reset;
 }
 
-// The first attempt's failure comes first, after which an idempotent request is retried, the client's end
-// after it.
+// The failure of the first attempt, after which an idempotent request is usually retried, arrives before the
+// client's end. There must be no retry.
 TEST(ClientLeft, BehindTheFailureThatWouldCauseARetry) {
-  for (bool reset : {false, true}) ExpectNoRetryAfterTheFailure(reset);
+  for (bool reset : {false, true}) ExpectNoRetryAfterAFailedAttempt(reset);
 }
 
 }  // namespace
--- a/tests/net/event_loop_monitor_test.cpp
+++ b/tests/net/event_loop_monitor_test.cpp
@@ -27,36 +27,39 @@
   EventLoopMonitor monitor{&timers, &log};
 };
 
-// While answers are awaited a stall is found, and found once: whatever is read next is in time again.
-TEST(EventLoopMonitor, FindsAStallOnce) {
+// While responses are awaited, a stall has to be detected, and only once: if it were reported again,
+// responses read after it would also be taken for delayed ones.
+TEST(EventLoopMonitor, DetectsAStallOnce) {
   MonitorFixture fixture;
-  Clock::time_point start = Clock::now();
-  fixture.monitor.TakeStall(start);
-  fixture.monitor.WakeUpSoon(start);
-  EXPECT_EQ(fixture.monitor.TakeStall(start + EventLoopMonitor::kWakeUpInterval), Clock::duration::zero());
-  Clock::time_point late = start + Seconds(0.5);
-  EXPECT_GE(fixture.monitor.TakeStall(late), Seconds(0.4));
-  EXPECT_EQ(fixture.monitor.TakeStall(late + Seconds(0.001)), Clock::duration::zero());
+  Clock::time_point started_at = Clock::now();
+  fixture.monitor.TakeStall(started_at);
+  fixture.monitor.WakeUpSoon(started_at);
+  EXPECT_EQ(fixture.monitor.TakeStall(started_at + EventLoopMonitor::kWakeUpInterval),
+            Clock::duration::zero());
+  Clock::time_point stall_ended_at = started_at + Seconds(0.5);
+  EXPECT_GE(fixture.monitor.TakeStall(stall_ended_at), Seconds(0.4));
+  EXPECT_EQ(fixture.monitor.TakeStall(stall_ended_at + Seconds(0.001)), Clock::duration::zero());
   EXPECT_EQ(fixture.log.str().rfind("event_loop_late late_s=0.", 0), 0U) << fixture.log.str();
 }
 
-// A gateway that has nothing to wait for may wait for any time.
-TEST(EventLoopMonitor, FindsNoStallWhereNoTimerIsDue) {
+// Guards against false reports: if no timer is due, the event loop may block for any time without being late.
+TEST(EventLoopMonitor, DetectsNoStallWhenNoTimerIsDue) {
   MonitorFixture fixture;
-  Clock::time_point start = Clock::now();
-  fixture.monitor.TakeStall(start);
-  EXPECT_EQ(fixture.monitor.TakeStall(start + Seconds(10)), Clock::duration::zero());
+  Clock::time_point started_at = Clock::now();
+  fixture.monitor.TakeStall(started_at);
+  EXPECT_EQ(fixture.monitor.TakeStall(started_at + Seconds(10)), Clock::duration::zero());
   EXPECT_EQ(fixture.log.str(), "");
 }
 
-// The event loop turns in time while answers are awaited for longer than the interval.
-TEST(EventLoopMonitor, WakesUpWithinItsInterval) {
+// While responses are awaited, the event loop has to wake up after the interval although no other timer is
+// due. Otherwise a stall in that time would go undetected.
+TEST(EventLoopMonitor, WakesUpAfterItsInterval) {
   MonitorFixture fixture;
-  Clock::time_point start = Clock::now();
-  fixture.monitor.WakeUpSoon(start);
-  fixture.timers.AddRequestDeadline(start + Seconds(kLimitS), 1);
-  fixture.RunUntil([&] { return fixture.timers.next_due() == start + Seconds(kLimitS); });
-  EXPECT_GE(Clock::now(), start + EventLoopMonitor::kWakeUpInterval);
+  Clock::time_point started_at = Clock::now();
+  fixture.monitor.WakeUpSoon(started_at);
+  fixture.timers.AddRequestDeadline(started_at + Seconds(kLimitS), 1);
+  fixture.RunUntil([&] { return fixture.timers.next_due() == started_at + Seconds(kLimitS); });
+  EXPECT_GE(Clock::now(), started_at + EventLoopMonitor::kWakeUpInterval);
 }
 
 }  // namespace
--- a/tests/net/gateway_discovery_test.cpp
+++ b/tests/net/gateway_discovery_test.cpp
@@ -21,9 +21,9 @@
   return Exchange(client, MakeRequest("quote")).body;
 }
 
-// Backends are added, are removed, change their address and drain, in full lists and in changes. Once
-// discovery sends a malformed answer, which has to leave the endpoint list as it is. A gateway that fails at
-// any of this forwards requests to backends that are gone.
+// Backends are added, are removed, change their address and drain, in full lists and in changes. One answer
+// of discovery is malformed and has to leave the endpoint list as it is. A gateway that applied
+// one of these wrongly would forward requests to the wrong backends.
 TEST(GatewayDiscovery, AppliesEndpointListsAndChanges) {
   StubBackend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
   GatewayFixture fixture(json::array({EndpointEntry("a", one.port())}));
--- a/tests/net/gateway_log_test.cpp
+++ b/tests/net/gateway_log_test.cpp
@@ -1,4 +1,4 @@
-// A running gateway whose log nobody reads.
+// Tests of a running gateway's log, most of them while nobody reads it.
 #include <csignal>
 #include <regex>
 #include <sstream>
@@ -11,32 +11,33 @@
 
 using namespace test_support;
 
-constexpr int kRounds = 200;  // a line each: more than the least pipe takes
+constexpr int kReloads = 200;  // log one line each, together more than the smallest pipe holds
 
-// Each line of a log that came whole begins with one of the events that these tests bring about.
+// Expects each line to be whole. A whole line begins with one of the events that these tests cause.
 void ExpectWholeLines(const std::string& log) {
   std::istringstream lines(log);
   for (std::string line; std::getline(lines, line);) {
-    bool known = false;
+    bool is_known_event = false;
     for (const char* event : {"configuration_reloaded applied=addresses", "log_resumed log_lines_dropped=",
                               "discovery_silent ", "gateway_ready ", "shutdown_started", "requests_ended "}) {
-      known = known || line.rfind(event, 0) == 0;
+      is_known_event = is_known_event || line.rfind(event, 0) == 0;
     }
-    EXPECT_TRUE(known) << line;
+    EXPECT_TRUE(is_known_event) << line;
   }
 }
 
-// Has the gateway write more lines than a pipe of the least size holds, and serve a request after each.
+// Makes the gateway log more lines than the smallest pipe holds, and expects a response after each.
 void ExpectServesThroughReloads(GatewayProcess* gateway, TestConnection* client) {
-  for (int i = 0; i < kRounds; ++i) {
+  for (int i = 0; i < kReloads; ++i) {
     gateway->Signal(SIGHUP);
-    ASSERT_TRUE(Exchange(*client, kReadinessRequest).complete) << "round " << i;
+    ASSERT_TRUE(Exchange(*client, kReadinessRequest).complete) << "reload " << i;
   }
 }
 
-// A log collector hangs: the pipe of the gateway's standard error fills up. A gateway that waited in the
-// write of a line would answer nobody from then on, in the whole fleet at once.
-TEST(GatewayLog, GoesOnServingWhileNobodyReadsIt) {
+// The log collector hangs, and the pipe that is the gateway's standard error fills up. A gateway that blocked
+// while writing a line would respond to nobody from then on, and so would all gateways of that collector at
+// the same time.
+TEST(GatewayLog, KeepsServingWhileNobodyReadsTheLog) {
   GatewayProcess gateway(ConfigJson(UnusedPort(), UnusedPort()), API_GATEWAY, rlim_t{0},
                          LogReading::kFirstLine);
   std::unique_ptr<TestConnection> client = gateway.Connect();
@@ -46,8 +47,9 @@
   ExpectWholeLines(gateway.log);
 }
 
-// The collector comes back: how many lines it has missed is told, and what follows is there again.
-TEST(GatewayLog, TellsHowManyLinesWereDropped) {
+// The log collector reads again. The log has to say how many lines were dropped, and must contain the lines
+// that follow; otherwise an operator would take a log with a gap for a complete one.
+TEST(GatewayLog, ReportsHowManyLinesWereDropped) {
   GatewayProcess gateway(ConfigJson(UnusedPort(), UnusedPort()), API_GATEWAY, rlim_t{0},
                          LogReading::kFirstLine);
   std::unique_ptr<TestConnection> client = gateway.Connect();
@@ -56,14 +58,14 @@
   gateway.Signal(SIGTERM);
   EXPECT_EQ(gateway.AwaitExit(), 0);
   ExpectWholeLines(gateway.log);
-  size_t resumed = gateway.log.find("log_resumed log_lines_dropped=");
-  ASSERT_NE(resumed, std::string::npos) << gateway.log;
-  EXPECT_NE(gateway.log.find("shutdown_started", resumed), std::string::npos) << gateway.log;
+  size_t resumed_offset = gateway.log.find("log_resumed log_lines_dropped=");
+  ASSERT_NE(resumed_offset, std::string::npos) << gateway.log;
+  EXPECT_NE(gateway.log.find("shutdown_started", resumed_offset), std::string::npos) << gateway.log;
 }
 
-// A start that does not go on leaves its log alone as evidence: which process it was, when it listened,
-// whether it became ready, and whether it computed or stood still meanwhile.
-TEST(GatewayLog, TellsTheTimesOfListeningAndOfReadiness) {
+// If a gateway's start hangs, its log is the only evidence. It has to tell which process it was, when the
+// process listened, whether it became ready, and whether it used the processor or stood still in between.
+TEST(GatewayLog, ReportsTheTimesOfListeningAndReadiness) {
   GatewayFixture fixture(json::array());
   const std::string pid = std::to_string(fixture.gateway->pid());
   fixture.gateway->Signal(SIGTERM);
--- a/tests/net/gateway_signals_test.cpp
+++ b/tests/net/gateway_signals_test.cpp
@@ -1,4 +1,4 @@
-// A running gateway that gets one signal after another.
+// Tests of a gateway that receives one signal after another.
 #include <csignal>
 #include <string>
 #include <vector>
@@ -10,9 +10,9 @@
 
 using namespace test_support;
 
-// An operator's tools send SIGTERM again, or SIGINT or SIGHUP, until the process is gone. One that comes
-// between the end of the event loop and the exit must not end the process by that signal: its exit status
-// would tell of a crash.
+// An operator's tools send SIGTERM again, or SIGINT or SIGHUP, until the process has ended. A signal that
+// arrives between the end of the event loop and the exit must not kill the process, or its exit status would
+// look like a crash.
 TEST(GatewaySignals, ExitsWithStatusZeroHoweverManySignalsFollowTheFirst) {
   const std::vector<std::vector<int>> series = {{SIGTERM}, {SIGINT}, {SIGHUP}, {SIGHUP, SIGINT, SIGTERM}};
   json config = ConfigJson(UnusedPort(), UnusedPort());
@@ -20,12 +20,14 @@
     for (const std::vector<int>& signals : series) {
       GatewayProcess gateway(config, program);
       gateway.Signal(SIGTERM);
-      EXPECT_EQ(gateway.SignalUntilExit(signals), 0) << program << ", first of the series: " << signals[0];
+      EXPECT_EQ(gateway.SignalUntilExit(signals), 0)
+          << program << ", first signal of the series: " << signals[0];
     }
   }
 }
 
-// The same of a gateway that cannot start: its status and its message are what the operator has to see.
+// The same signals reach a gateway that cannot start. If one of them killed it, the operator would not see
+// the exit status and the message of the failed start.
 TEST(GatewaySignals, KeepsTheStatusOfAFailedStart) {
   GatewayProcess gateway(std::string("{}"), API_GATEWAY_SLOW_EXIT, rlim_t{0});
   EXPECT_EQ(gateway.port, 0);
--- a/tests/net/gateway_stall_test.cpp
+++ b/tests/net/gateway_stall_test.cpp
@@ -1,4 +1,4 @@
-// A running gateway whose process is held up.
+// Tests of a running gateway whose process is stalled.
 #include <chrono>
 #include <csignal>
 #include <memory>
@@ -13,7 +13,8 @@
 
 using namespace test_support;
 
-// Deadlines and latency objectives far above what a loaded machine takes, so that only the hold is long.
+// Deadlines and latency objectives are far above the latencies on a loaded machine, so that only the stall
+// can exceed them.
 json ConfigWithLongObjectives() {
   json config = ConfigJson(0, 0);
   for (json& cls : config["settings"]["request-classes"]) {
@@ -23,16 +24,16 @@
   return config;
 }
 
-// A request of a tenant of its own, so that no quota is touched.
+// Returns a request of the tenant with this number. Tests use each tenant once, so that none is over quota.
 std::string RequestOfTenant(int tenant, int timeout_ms = 30000) {
   std::string request = MakeRequest("quote", 1, timeout_ms);
   std::string cookie = "client=00000000b4d65521";
-  std::string own_cookie = "client=00000000";
-  own_cookie += std::to_string(10000000 + tenant);
-  return request.replace(request.find(cookie), cookie.size(), own_cookie);
+  std::string tenant_cookie = "client=00000000";
+  tenant_cookie += std::to_string(10000000 + tenant);
+  return request.replace(request.find(cookie), cookie.size(), tenant_cookie);
 }
 
-// A gateway with requests in flight, whose backends answer when they are told to.
+// A gateway with requests in flight, whose backends respond when the test releases them.
 struct StallFixture {
   StallFixture(int requests, int timeout_ms) {
     for (int i = 0; i < requests; ++i) {
@@ -41,18 +42,20 @@
     }
     EXPECT_TRUE(backend.requests.Wait(requests));
   }
-  // The backends answer after so long, into the sockets of a process that does not read until the hold ends.
-  void HoldWhileBackendsAnswer(std::chrono::milliseconds answer_after, std::chrono::milliseconds duration) {
+  // Stops the process for `duration`. The backends respond `response_delay` after it was stopped, and the
+  // process cannot read the responses until the stall ends.
+  void StallWhileBackendsRespond(std::chrono::milliseconds response_delay,
+                                 std::chrono::milliseconds duration) {
     fixture.gateway->Signal(SIGSTOP);
-    std::this_thread::sleep_for(answer_after);
+    std::this_thread::sleep_for(response_delay);
     released.Add();
-    std::this_thread::sleep_for(duration - answer_after);
+    std::this_thread::sleep_for(duration - response_delay);
     fixture.gateway->Signal(SIGCONT);
   }
-  int CountGoodAnswers() {
-    int good = 0;
-    for (auto& client : clients) good += client->Read().status() == 200 ? 1 : 0;
-    return good;
+  int CountOkResponses() {
+    int ok_count = 0;
+    for (auto& client : clients) ok_count += client->Read().status() == 200 ? 1 : 0;
+    return ok_count;
   }
   static json Endpoints(int port) {
     constexpr int kBackends = 200;
@@ -70,29 +73,31 @@
   std::vector<std::unique_ptr<TestConnection>> clients;
 };
 
-// The process stands still (SIGSTOP, a virtual machine that moves, a core that others take) while attempts
-// are in flight. Their answers are read late, at once. Taken for slow backends, they would make the gateway
-// reject most of what comes for seconds after, though every backend answers at once.
-TEST(GatewayStall, RejectsNothingAfterAHoldBeforeWellBackends) {
-  constexpr int kHeld = 60;
-  constexpr int kAfter = 200;
-  StallFixture stall(kHeld, 30000);
-  stall.HoldWhileBackendsAnswer(std::chrono::milliseconds(0), std::chrono::milliseconds(2500));
-  EXPECT_EQ(stall.CountGoodAnswers(), kHeld);
-  for (int i = 0; i < kAfter; ++i) {
-    HttpMessage response = Exchange(*stall.clients[0], RequestOfTenant(kHeld + i));
-    ASSERT_EQ(response.status(), 200) << "request " << i << " after";
+// The process is stalled (by SIGSTOP, by a migration of its virtual machine, or by other processes on its
+// core) while attempts are in flight. Their responses are read late and all at once. If the gateway took the
+// backends to be slow, it would reject most requests of the next seconds, although every backend responds at
+// once.
+TEST(GatewayStall, RejectsNothingAfterAStallWhenBackendsAreHealthy) {
+  constexpr int kInFlight = 60;
+  constexpr int kLaterRequests = 200;
+  StallFixture stall(kInFlight, 30000);
+  stall.StallWhileBackendsRespond(std::chrono::milliseconds(0), std::chrono::milliseconds(2500));
+  EXPECT_EQ(stall.CountOkResponses(), kInFlight);
+  for (int i = 0; i < kLaterRequests; ++i) {
+    HttpMessage response = Exchange(*stall.clients[0], RequestOfTenant(kInFlight + i));
+    ASSERT_EQ(response.status(), 200) << "request " << i << " after the stall";
   }
 }
 
-// The hold lasts past the deadline of requests whose answers came in time, more of them than the event loop
-// takes from the system at once, and after a first timer was due. When it goes on, all time-outs are due, and
-// all answers: a time-out that comes first would throw away an answer that is there.
-TEST(GatewayStall, ForwardsAnswersThatCameBeforeTheDeadline) {
-  constexpr int kHeld = 300;
-  StallFixture stall(kHeld, 4000);
-  stall.HoldWhileBackendsAnswer(std::chrono::milliseconds(1000), std::chrono::milliseconds(4200));
-  EXPECT_EQ(stall.CountGoodAnswers(), kHeld);
+// The stall lasts past the deadline of requests whose responses arrived in time. They are more than the event
+// loop takes from the kernel in one turn, and a timer was due before they arrived. When the process resumes,
+// every time-out is due and every response is readable: a time-out that is handled first would discard a
+// response that is there.
+TEST(GatewayStall, ForwardsResponsesThatArrivedBeforeTheDeadline) {
+  constexpr int kInFlight = 300;
+  StallFixture stall(kInFlight, 4000);
+  stall.StallWhileBackendsRespond(std::chrono::milliseconds(1000), std::chrono::milliseconds(4200));
+  EXPECT_EQ(stall.CountOkResponses(), kInFlight);
 }
 
 }  // namespace
--- a/tests/net/gateway_waits_test.cpp
+++ b/tests/net/gateway_waits_test.cpp
@@ -1,4 +1,4 @@
-// A gateway process that serves holds no descriptor on which it could wait outside its event loop.
+// Tests that a running gateway has no descriptor on which it could block outside its event loop.
 #include <memory>
 #include <string>
 #include <vector>
@@ -10,7 +10,8 @@
 
 using namespace test_support;
 
-// A read, write or connect on a blocking descriptor waits for the other side.
+// A read, write or connect on a blocking descriptor waits for its peer, and every client of the gateway waits
+// with it.
 TEST(GatewayWaits, HoldsNoBlockingSocketOrPipe) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   GatewayFixture fixture(json::array({EndpointEntry("s1", backend.port())}));
