--- a/tests/net/gateway_configuration_test.cpp
+++ b/tests/net/gateway_configuration_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(Exchange(client, MakeRequest("quote", 2)).body, body);
 }
 
-// SIGHUP arrives after the configuration file got other addresses of discovery and the counter. The gateway
+// SIGHUP arrives after discovery and the counter got other addresses in the configuration file. The gateway
 // has to use the last endpoint list until the new agent has sent its own, or it would reject requests
 // meanwhile. An earlier reload finds a file that cannot be parsed, which has to change nothing.
 TEST(GatewayConfiguration, SwitchesDiscoveryAndCounterOnSighup) {
--- a/tests/net/gateway_connections_test.cpp
+++ b/tests/net/gateway_connections_test.cpp
@@ -109,7 +109,8 @@
   if (how == "bytes") {
     EXPECT_TRUE(closed.Wait());
   }
-  // The backend's close may cross the next request. Any request after that one finds the connection closed.
+  // The backend's close may cross the next request. For any request after that one the gateway knows of
+  // the close.
   if (how == "close") Exchange(*client, MakeRequest("quote"));
   EXPECT_EQ(Exchange(*client, MakeRequest("send-lead")).status(), 200) << how;
 }
@@ -162,9 +163,9 @@
   close(fd);
 }
 
-// More clients connect than the process may have descriptors, whose number is once the gateway's configured
-// limit and once below it. Idle clients have to be evicted or new ones wait to be accepted, and requests are
-// served again after clients have disconnected.
+// More clients connect than the process may open descriptors. The process's limit is once equal to the
+// gateway's configured limit and once below it. Idle clients have to be evicted, or new ones wait to be
+// accepted. Requests have to be served again once clients have disconnected.
 TEST(GatewayConnections, SurvivesRunningOutOfDescriptors) {
   StubBackend backend(RespondsWith(OkResponse("x")));
   json config = ConfigJson(0, 0);
--- a/tests/net/gateway_discovery_test.cpp
+++ b/tests/net/gateway_discovery_test.cpp
@@ -22,8 +22,8 @@
 }
 
 // Backends are added, are removed, change their address and drain, in full lists and in changes. One answer
-// of discovery is malformed and has to leave the endpoint list as it is. A gateway that applied
-// one of these wrongly would forward requests to the wrong backends.
+// of discovery is malformed and has to leave the endpoint list as it is. A gateway that applied one of these
+// wrongly would forward requests to the wrong backends.
 TEST(GatewayDiscovery, AppliesEndpointListsAndChanges) {
   StubBackend one(RespondsWith(OkResponse("one"))), two(RespondsWith(OkResponse("two")));
   GatewayFixture fixture(json::array({EndpointEntry("a", one.port())}));
--- a/tests/net/gateway_log_test.cpp
+++ b/tests/net/gateway_log_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace test_support;
 
-constexpr int kReloads = 200;  // log one line each, together more than the smallest pipe holds
+constexpr int kReloads = 200;  // each logs one line; together more than the smallest pipe holds
 
 // Expects each line to be whole. A whole line begins with one of the events that these tests cause.
 void ExpectWholeLines(const std::string& log) {
--- a/tests/net/gateway_start_test.cpp
+++ b/tests/net/gateway_start_test.cpp
@@ -80,8 +80,9 @@
 }
 
 // Applies `action` to calls that create threads or processes, that wait outside the event loop, or that open
-// other sockets than TCP and UDP over IPv4. If only some uses of a call wait, its arguments decide. Reads,
-// writes and connects are left out, as they wait only on a blocking descriptor: GatewayWaits tests those.
+// other sockets than TCP and UDP over IPv4. If only some uses of a call wait, the filter checks the
+// call's arguments. Reads, writes and connects are left out, as they wait only on a blocking descriptor:
+// GatewayWaits tests those.
 SystemCallFilter FilterCallsOutsideTheEventLoop(uint32_t action) {
   SystemCallFilter filter;
   for (long number : {SYS_clone, SYS_clone3, SYS_unshare, SYS_execveat}) filter.Add(number, action);
@@ -242,10 +243,10 @@
 // Signals ------------------------------------------------------------------------------------------------
 
 // Starts one gateway for each system call between the one that sets the signal's handler and the event loop's
-// first wait. Each gets the signal in its own one of these calls.
+// first wait. Each gateway gets the signal in a different one of these calls.
 std::vector<std::unique_ptr<GatewayStart>> StartWithSignalAtEachCall(const GatewayDependencies& dependencies,
                                                                      int signal) {
-  constexpr int kMaxGateways = 500;  // more than a start makes calls
+  constexpr int kMaxGateways = 500;  // more than the system calls of a start
   std::vector<std::unique_ptr<GatewayStart>> gateways;
   GatewayStartOptions options;
   options.before_program = [] {
--- a/tests/net/gateway_test.cpp
+++ b/tests/net/gateway_test.cpp
@@ -172,6 +172,9 @@
   }
 }
 
+// A backend that responds with Not-Started has not run the request. If the gateway took the response for the
+// failure of an attempt that may have run, the client would get 502 and could not retry a non-idempotent
+// request.
 TEST(Gateway, TreatsNotStartedAsARejection) {
   StubBackend full_backend(RespondsWith("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
   GatewayFixture fixture(json::array({EndpointEntry("s1", full_backend.port())}));
--- a/tests/net/graceful_shutdown_test.cpp
+++ b/tests/net/graceful_shutdown_test.cpp
@@ -87,8 +87,7 @@
   }
   ASSERT_NE(fresh, nullptr);
   released.Add();
-  for (TestConnection* connection : {client.get(), fresh.get(), partial.get()})
-    ExpectLastResponse(*connection);
+  for (TestConnection* each : {client.get(), fresh.get(), partial.get()}) ExpectLastResponse(*each);
   EXPECT_EQ(fixture.gateway->AwaitExit(), 0);
 }
 
