--- a/src/net/client_session.h
+++ b/src/net/client_session.h
@@ -36,8 +36,8 @@
 // - kIdle or kReceiving to kWriting: the request is malformed, and the session itself answers it.
 // - kWriting to kIdle: the response has been written and the connection is kept alive.
 // - kWriting to kLingering: the last response has been written. Further bytes of the client are discarded.
-// - any state to kClosed: Close was called, the connection has failed, the client has closed it, or the
-//   time-out of the state has expired.
+// - any state to kClosed: Close was called, the connection has failed, the client has closed it, the time-out
+//   of the state has expired, or too many bytes have arrived in kLingering.
 //
 // Ownership: the session is shared by its owner and its pending operations. No callback runs after Close or
 // Detach.
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -223,7 +223,8 @@
   if (target.substr(0, std::string_view(kAdminPathPrefix).size()) == kAdminPathPrefix) {
     return AnswerAdminRequest(connection, target);
   }
-  // In a busy event loop the client may have disconnected long ago. The end of the connection is read next.
+  // In a busy event loop the client may have disconnected long ago. Its request is not answered: the session
+  // closes as soon as it reads the end of the connection.
   if (server_.HasClientLeft(connection)) {
     std::string_view id = ToStringView(message[kRequestIdField]);
     return rejection_log_.Count(RejectionLog::Cause::kClientLeft, id, Clock::now());
@@ -407,8 +408,8 @@
 }
 
 // Guards against a policy that never decides about a request, which would leave the client without a
-// response. Status 503 tells the client that a retry is safe, so it is sent only if no attempt can have had
-// an effect; otherwise the status is 504.
+// response. Status 503 tells the client that a retry is safe, so it is sent only if the request is idempotent
+// or no attempt can have had an effect; otherwise the status is 504.
 void Gateway::OnRequestDeadline(uint32_t request_id) {
   InFlightRequest* request = requests_.Find(request_id);
   if (request == nullptr || request->answered) return;
--- a/src/net/graceful_shutdown.cpp
+++ b/src/net/graceful_shutdown.cpp
@@ -8,9 +8,8 @@
 // New requests keep arriving for up to 0.4 s after SIGTERM (PROTOCOL, Figures).
 constexpr double kAcceptingRequestsS = 0.5;
 
-// After SIGTERM, SIGKILL is not sent before the longest deadline, of which at most kMaxKillDeadlineS counts,
-// plus kKillGraceS have passed (PROTOCOL, Figures). kKillMarginS of that time is reserved for delays on a
-// busy core.
+// Shortest time from SIGTERM to SIGKILL: the longest deadline, but at most kMaxKillDeadlineS, plus
+// kKillGraceS (PROTOCOL, Figures). kKillMarginS of that time is reserved for delays on a busy core.
 constexpr double kMaxKillDeadlineS = 3;
 constexpr double kKillGraceS = 0.7;
 constexpr double kKillMarginS = 0.2;
--- a/src/net/http_field_names.h
+++ b/src/net/http_field_names.h
@@ -1,5 +1,5 @@
 // The names of HTTP fields, cookies, paths and query parameters in the protocol. The constants are named by
-// the terms that the code uses. No other file contains these names.
+// the terms that the code uses. No other source file of the gateway spells these names out.
 #ifndef GATEWAY_NET_HTTP_FIELD_NAMES_H_
 #define GATEWAY_NET_HTTP_FIELD_NAMES_H_
 
--- a/src/net/log_descriptor.h
+++ b/src/net/log_descriptor.h
@@ -1,4 +1,4 @@
-// A file descriptor for the log that is written to without blocking.
+// Writes the log to a file descriptor without blocking.
 #ifndef GATEWAY_NET_LOG_DESCRIPTOR_H_
 #define GATEWAY_NET_LOG_DESCRIPTOR_H_
 
@@ -11,7 +11,7 @@
 // a socket or a file. It is never set to non-blocking, because other processes may share its open file
 // description and would be affected too.
 //
-// Invariant: a write of at most PIPE_BUF bytes to a pipe is written completely or not at all.
+// Invariant: a text of at most PIPE_BUF bytes is written to a pipe completely or not at all.
 class LogDescriptor {
  public:
   // Does not take ownership. Must be constructed before the process opens other descriptors: if `descriptor`
@@ -26,10 +26,10 @@
 
  private:
   enum class Method {
-    kNone,          // nothing is written, because the descriptor is closed
-    kWrite,         // write() to a regular file, or to a non-blocking open file description of our own
-    kSend,          // send() with MSG_DONTWAIT to a socket
-    kWriteNoWait,   // pwritev2() with RWF_NOWAIT to a pipe or terminal, if the kernel supports it
+    kNone,         // nothing is written, because the descriptor is closed
+    kWrite,        // write() to a regular file, which always has room, or to a pipe or terminal reopened here
+    kSend,         // send() with MSG_DONTWAIT to a socket
+    kWriteNoWait,  // pwritev2() with RWF_NOWAIT to a pipe or terminal, if the kernel supports it
     kPollAndWrite,  // poll() and write(), which may block if another process fills the pipe in between
   };
 
--- a/src/net/non_blocking_log.cpp
+++ b/src/net/non_blocking_log.cpp
@@ -11,8 +11,8 @@
 constexpr auto kRetryInterval = std::chrono::seconds(1);
 constexpr std::string_view kTruncationMark = "...";
 
-// Returns the text as one log line: truncated to the maximum length, without control characters, and with a
-// newline at its end.
+// Returns the text as one log line: truncated to the maximum length, with control characters replaced by
+// spaces, and with a newline at its end.
 std::string FormatLine(std::string_view text) {
   constexpr size_t kMaxTextBytes = NonBlockingLog::kMaxLineBytes - 1;
   std::string line(text.substr(0, kMaxTextBytes));
--- a/src/net/non_blocking_log.h
+++ b/src/net/non_blocking_log.h
@@ -16,8 +16,8 @@
 // before any other line, "log_resumed log_lines_dropped=N" is written. A gateway that waited for a log
 // collector that hangs could not answer any request.
 //
-// Invariants: lines are never interleaved. A line has at most kMaxLineBytes including its newline, and no
-// control characters.
+// Invariants: lines are never interleaved. A line has at most kMaxLineBytes including its newline, which is
+// its only control character.
 class NonBlockingLog final : public Log {
  public:
   // Below PIPE_BUF, so that a line is written to a pipe completely or not at all.
--- a/src/net/rejection_log.cpp
+++ b/src/net/rejection_log.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr auto kLogInterval = std::chrono::seconds(1);
-constexpr size_t kMaxIdBytes = 64;
+constexpr size_t kMaxIdBytes = 64;  // of a client's request id in a line
 constexpr std::array<const char*, RejectionLog::kCauseCount> kCauseNames = {
     "invalid", "over_quota", "overload", "no_backend", "given_up",
     "failed",  "deadline",   "shutdown", "client_left"};
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -36,7 +36,8 @@
   // Ensures that a timer is due at `due` or earlier.
   void EnsureWakeUpBy(Clock::time_point due);
 
-  // Returns when the next timer is due, or nothing if there is none or due timers are being handled.
+  // Returns when the next timer is due, or nothing if there is none. While due timers are being handled, only
+  // those added meanwhile count.
   std::optional<Clock::time_point> next_due() const { return armed_for_; }
 
  private:
--- a/src/policy/admission_policy.cpp
+++ b/src/policy/admission_policy.cpp
@@ -193,8 +193,9 @@
     const InFlightRequest& waiting = in_flight_[request.id] = std::move(arrived);
     StartCheckTimer(waiting, nullptr, now_s, actions);
     tenant->waiting.push_back({request.id, request.cost_units, reserve});
-    // Concurrency is reported first, because the gateway may be allowed only one call: its total is out of
-    // date within the duration of an attempt, the total of the rate quota only within a window.
+    // Concurrency is reported first, because the gateway may be allowed only one call. The total of the
+    // concurrency is out of date within the duration of an attempt, that of the rate quota only within a
+    // window.
     counter_.ReportConcurrency(tenant, now_s, actions);
     counter_.ReportUsage(tenant, now_s, actions);
     if (!tenant->HasCallPending()) DecideWaitingRequests(tenant, false, now_s, actions);
--- a/src/policy/concurrency_quota.h
+++ b/src/policy/concurrency_quota.h
@@ -31,7 +31,8 @@
   double ProbabilityOfRoom(int cap, double attempt_s, double now_s) const;
   // The same probability if the last reply may be old or missing. With the reply's age it moves from
   // `probability_of_room` to `prior`, the share of earlier requests that were within the tenant's quotas.
-  // `counter_is_needed` is false for a tenant with a single ingress gateway.
+  // While the counter is silent, it stays with the last reply. `counter_is_needed` is false for a tenant with
+  // a single ingress gateway.
   double ProbabilityWithinCap(int cap, double probability_of_room, double prior, bool counter_is_needed,
                               bool counter_is_silent, double now_s) const;
 
--- a/src/policy/counter_schedule.cpp
+++ b/src/policy/counter_schedule.cpp
@@ -15,8 +15,8 @@
 // A reply that takes longer than this many counter time-outs is a sign of congestion. The socket-based
 // gateway waits for three time-outs (net/gateway.cpp), because a late total is still useful.
 constexpr double kSlowReplyTimeouts = 1.5;
-// The congestion level grows and shrinks by these shares of itself. At any level it is steady when one call
-// in nine is slow or fails, which is just below the capacity of the counter.
+// The congestion level grows and shrinks by these shares of itself. At any level its expected change is zero
+// when one call in nine is slow or fails, which is just below the capacity of the counter.
 constexpr double kCongestionGrowth = 0.4;
 constexpr double kCongestionDecay = 0.05;
 constexpr double kMaxCongestion = 1;
--- a/src/policy/counter_schedule.h
+++ b/src/policy/counter_schedule.h
@@ -56,9 +56,10 @@
   // a call from each of them, or would never be reported.
   double ReportingProbability(double ingress_gateways) const;
 
-  // These two make the tenant's next call of their kind, if one is due. A call reports the usage of this
-  // gateway and reads the total. It is due when the report is large or old enough, or when a request waits
-  // for the total.
+  // These two make the tenant's next call of their kind, if one is due. A call reports the usage or the
+  // concurrency of this gateway and reads the total. Both kinds are due when a request waits for the total. A
+  // usage call is also due when the report is large or old enough or the usage of the other gateways is
+  // unknown, and a concurrency call as soon as the number of attempts has changed.
   void ReportUsage(Tenant* tenant, double now_s, Actions* actions);
   void ReportConcurrency(Tenant* tenant, double now_s, Actions* actions);
 
--- a/src/policy/demand_share.h
+++ b/src/policy/demand_share.h
@@ -22,7 +22,7 @@
   friend class DemandShare;
   double units_ = 0;               // granted and not yet used
   int64_t last_demand_tick_ = -1;  // last tick with a request of the tenant; -1 if none
-  double demand_units_ = 0;        // V_i, the units requested in that tick
+  double demand_units_ = 0;        // units requested in that tick; V_i in the rule of DemandShare
 };
 
 // Rule: in each tick in which a tenant sends requests, it is granted V_i / sum V x (W - mu_i) units, at most
@@ -32,7 +32,8 @@
 //   mu_i   is the tokens in its own bucket,
 //   W      is the capacity to share: the units that the backends served for this gateway in that tick, since
 //          they can be expected to serve as many again. W is zero if the tick was under pressure, that is, if
-//          a request was rejected for lack of capacity or a response missed its latency objective.
+//          a backend rejected an attempt or let it time out in its queue, this gateway rejected a request
+//          within quota for lack of capacity, or a response missed its latency objective.
 //
 // Invariant: only the last kTicks ticks are kept. Older demand grants nothing.
 class DemandShare {
--- a/src/policy/in_flight_request.h
+++ b/src/policy/in_flight_request.h
@@ -28,7 +28,7 @@
 
   Request request;
   double deadline_at_s = 0;          // by the caller's clock
-  double deadline_at_running_s = 0;  // by RunningClock; the same time if no stall follows
+  double deadline_at_running_s = 0;  // on RunningClock, which reaches it later if a stall follows
   std::vector<Attempt> attempts;     // in the order of forwarding
   int attempts_in_flight = 0;
   // The final response has been given or the client has disconnected. Attempts may still be in flight.
--- a/src/policy/load_shedder.h
+++ b/src/policy/load_shedder.h
@@ -54,7 +54,7 @@
   const Settings& settings_;
   const ServiceEstimator& estimator_;
   RandomSource& random_;
-  std::vector<double> max_time_left_s_;  // by class, the largest value of the requests seen
+  std::vector<double> max_time_left_s_;  // by class, the longest time left of an arriving request
   int attempts_in_flight_ = 0;           // attempts of this gateway
   double last_outcome_at_s_ = 0;         // time at which the last attempt ended
   double admitted_share_ = 1;
--- a/src/policy/quota_check.h
+++ b/src/policy/quota_check.h
@@ -19,8 +19,9 @@
 
 struct QuotaAssessment {
   QuotaDecision decision = QuotaDecision::kOverQuota;
-  // Probability that the fleet-wide quotas cover the request, from what is known now. It is 0 for a tenant
-  // that has a rate quota and a single ingress gateway, for which the decision is certain.
+  // Probability that the fleet-wide quotas cover the request, from what is known now. It is 0 if the decision
+  // is certain: if the ceiling rejects the request, or if the tenant has a rate quota and a single ingress
+  // gateway.
   double probability_within = 0;
 };
 
--- a/src/policy/settings.h
+++ b/src/policy/settings.h
@@ -65,7 +65,7 @@
   bool retry_after_enabled = false;
   double max_retry_after_s = 0;            // Retry-After for requests over quota
   int max_attempts = 0;                    // per request, including the first
-  double connect_timeout_s = 0;            // limit for a new connection to a backend
+  double connect_timeout_s = 0;            // time limit for connecting to a backend
   double slow_start_initial_fraction = 0;  // of full capacity, when a backend has just started
   double slow_start_duration_s = 0;        // until a started backend has full capacity
   // Load, as a multiple of its present capacity, at which a backend in warm-up collapses.
--- a/src/policy/tenant_quota.cpp
+++ b/src/policy/tenant_quota.cpp
@@ -8,7 +8,7 @@
 
 // A report is due when the unreported units reach this share of the tokens left per ingress gateway.
 constexpr double kReportBatchShare = 0.25;
-// Unreported units are due for a report after this many windows, however few they are.
+// Unreported units are due for a report this many windows after the last total, however few they are.
 constexpr double kMaxReportAgeWindows = 0.25;
 // Share of a ceiling's slack that is used. The rest covers rounding errors.
 constexpr double kCeilingSlackShare = 0.95;
--- a/src/policy/tenant_quota.h
+++ b/src/policy/tenant_quota.h
@@ -32,7 +32,7 @@
 // gateways from the counter's totals.
 //
 // Invariants: tokens never exceed the burst. Units charged here are reported to the counter exactly once, or
-// kept as unreported.
+// kept as unreported, of which at most one burst outlasts a window.
 //
 // While the counter has not replied yet, or no longer replies, the other gateways are assumed to continue at
 // their last known rate, so this gateway stays within its own part of the quota.
@@ -40,7 +40,7 @@
  public:
   // Findings from a total of the counter.
   struct TotalResult {
-    bool counter_lost_state = false;       // the total fell and was ignored
+    bool counter_lost_state = false;       // the total fell, so no usage was derived from it
     bool first_of_unknown_window = false;  // first report of a window whose starting deficit is unknown
   };
 
@@ -57,7 +57,8 @@
   double tokens() const { return bucket_.tokens(); }
   double unreported_units() const { return unreported_units_; }
   int64_t window() const { return window_; }
-  // Whether the usage of the other gateways is known: a total was read, and no window was missed since.
+  // Whether the usage of the other gateways is known: a total was read, and no window was skipped since then,
+  // other than while the counter was silent.
   bool IsOthersUsageKnown() const { return others_usage_known_; }
 
   // Advances buckets and window to `now_s`. It must be called before any other method is called for a new
@@ -65,12 +66,12 @@
   void Refill(double now_s, bool counter_is_silent);
 
   // Whether the tokens and the window cover `units`. While the usage of the other gateways is unknown, this
-  // gateway's part of the quota must cover them too.
+  // gateway's part of the quota must cover them too, unless nothing has been charged in that state yet.
   bool HasRoom(double units, double now_s) const;
 
-  // Probability in [0, 1] that the fleet-wide quota covers `units`. As the last total ages, its weight falls
-  // and that of `prior` rises, the share of such requests that proved to be within the quota. It is
-  // used for tenants with several ingress gateways.
+  // Probability in [0, 1] that the fleet-wide quota covers `units`, for tenants with several ingress
+  // gateways. As the last total ages, its weight falls and that of `prior` rises, the share of such requests
+  // that proved to be within the quota. While the counter is silent, the last total keeps its full weight.
   double ProbabilityOfRoom(double units, double now_s, double prior, double max_request_units,
                            bool counter_is_silent) const;
 
--- a/src/policy/token_bucket.h
+++ b/src/policy/token_bucket.h
@@ -6,15 +6,16 @@
 
 namespace gateway::policy {
 
-// One token pays for one cost unit. The caller passes rate and capacity with each refill, because both depend
-// on the usage of the other gateways. The level may be negative, and later refills pay off that debt.
+// One token pays for one cost unit. The caller passes the rate with each refill, because it depends on the
+// usage of the other gateways, and the capacity with each call. The level may be negative, and later refills
+// pay off that debt.
 class TokenBucket {
  public:
   explicit TokenBucket(double tokens = 0) : tokens_(tokens) {}
 
   double tokens() const { return tokens_; }
 
-  // The rate is negative if the other gateways use more than the quota.
+  // A negative rate, for other gateways that use more than the quota, drains the bucket.
   void Refill(double tokens_per_s, double elapsed_s, double capacity) {
     tokens_ = std::min(capacity, tokens_ + tokens_per_s * elapsed_s);
   }
